--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,11 +16,11 @@
 using Json = nlohmann::json;
 
 // A process may stand still for 0.15 s, and clients wait some 0.06 s longer than they say.
-constexpr Tenths kPauseAllowance = 1000;
+constexpr TenthsOfMs kPauseAllowance = 1000;
 
 // Nested JSON as the pairs that the one reader of settings takes: objects by dotted paths, lists of objects
 // by number beside their count, lists of plain values with commas.
-void flatten(const std::string& path, const Json& value, Pairs& into) {
+void flatten(const std::string& path, const Json& value, SettingPairs& into) {
   const auto below = [&](const std::string& key) { return path.empty() ? key : path + "." + key; };
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items()) flatten(below(key), inner, into);
@@ -75,7 +75,7 @@
     }
     if (c.descriptors < 32 || c.descriptors > 1000000) throw Malformed("limits.sockets is out of range");
     if (c.memory_mb < 8 || c.memory_mb > 1000000) throw Malformed("limits.memory_mb is out of range");
-    Pairs pairs;
+    SettingPairs pairs;
     flatten("", json.at("settings"), pairs);
     for (const auto& [key, value] : json.items())
       if (key != "known") flatten(key, value, c.given);
@@ -99,7 +99,7 @@
 
 // The keys of a list's items, for each kind of item: workloads of unlike semantics have unlike keys.
 using Keys = std::set<std::string, std::less<>>;
-std::map<std::string, std::vector<Keys>> items_by_kind(const Pairs& given, const std::string& list) {
+std::map<std::string, std::vector<Keys>> items_by_kind(const SettingPairs& given, const std::string& list) {
   std::map<std::string, std::vector<Keys>> all;
   const std::string from = list + ".";
   for (int i = 0;; ++i) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -24,8 +24,8 @@
   std::size_t descriptors = 1024, memory_mb = 192;
   std::size_t own_descriptors = 0;  // what else in this process keeps open
   Settings settings;
-  Pairs given;  // all of the file but the list, by paths
-  Names names;
+  SettingPairs given;  // all of the file but the list, by paths
+  NameIndices names;
   std::vector<std::string> unused;  // settings that are understood but can't be followed on sockets
 };
 
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -18,8 +18,8 @@
   if (!(n >= least && n <= most)) throw Malformed(fmt::format("{} is not between {} and {}", key, least, most));
   return n;
 }
-Tenths span(const Json& value, const std::string& key, double least_ms, double most_ms) {
-  return static_cast<Tenths>(std::llround(ranged(value, key, least_ms, most_ms) * 10));
+TenthsOfMs span(const Json& value, const std::string& key, double least_ms, double most_ms) {
+  return static_cast<TenthsOfMs>(std::llround(ranged(value, key, least_ms, most_ms) * 10));
 }
 
 void read_membership(const Json& json, FleetFile::Membership& m) {
--- a/src/core/answer_hold.cpp
+++ b/src/core/answer_hold.cpp
@@ -9,29 +9,29 @@
 using std::chrono::milliseconds;
 
 // What has come may be kept for less than 2 s, where its client waits for much longer.
-constexpr milliseconds kLongestHold{1700};
+constexpr milliseconds kMaxBufferingTime{1700};
 // A limit that is further away than the longest usual deadline, 3 s, is far.
-constexpr milliseconds kFar{3500};
-constexpr std::size_t kLeastPerMs = 16;  // bytes; a slower one is taken for one that never ends
+constexpr milliseconds kFarDeadline{3500};
+constexpr std::size_t kMinBytesPerMs = 16;  // bytes; a slower one is taken for one that never ends
 
 }  // namespace
 
-bool AnswerHold::is_due_far() const { return due_ - begun_ > kFar; }
+bool AnswerBuffering::is_deadline_far() const { return deadline_ - started_at_ > kFarDeadline; }
 
-bool AnswerHold::is_fast_enough(TimePoint now) const {
-  const auto ms = std::chrono::duration_cast<milliseconds>(now - begun_).count();
-  return bytes_ >= static_cast<std::size_t>(std::max<std::int64_t>(0, ms)) * kLeastPerMs;
+bool AnswerBuffering::is_fast_enough(TimePoint now) const {
+  const auto ms = std::chrono::duration_cast<milliseconds>(now - started_at_).count();
+  return received_bytes_ >= static_cast<std::size_t>(std::max<std::int64_t>(0, ms)) * kMinBytesPerMs;
 }
 
-AnswerHold::Verdict AnswerHold::at(TimePoint now) const {
-  if (now >= due_) return Verdict::give_up;
-  const bool was_kept_long = now - begun_ >= kLongestHold;
-  return is_due_far() && was_kept_long && is_fast_enough(now) ? Verdict::pass_on : Verdict::keep;
+AnswerBuffering::Decision AnswerBuffering::at(TimePoint now) const {
+  if (now >= deadline_) return Decision::give_up;
+  const bool was_kept_long = now - started_at_ >= kMaxBufferingTime;
+  return is_deadline_far() && was_kept_long && is_fast_enough(now) ? Decision::forward : Decision::buffer;
 }
 
-AnswerHold::TimePoint AnswerHold::next_look(TimePoint now) const {
-  const TimePoint longest = begun_ + kLongestHold;
-  return is_due_far() && now < longest ? longest : due_;
+AnswerBuffering::TimePoint AnswerBuffering::next_decision_at(TimePoint now) const {
+  const TimePoint longest = started_at_ + kMaxBufferingTime;
+  return is_deadline_far() && now < longest ? longest : deadline_;
 }
 
 }  // namespace troutstage::core
--- a/src/core/answer_hold.h
+++ b/src/core/answer_hold.h
@@ -14,24 +14,24 @@
 
 namespace troutstage::core {
 
-class AnswerHold {
+class AnswerBuffering {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
-  enum class Verdict { keep, pass_on, give_up };
+  enum class Decision { buffer, forward, give_up };
 
   // `due`: until when its request may be answered otherwise.
   // `had`: bytes of it that had come when it was first kept.
-  AnswerHold(TimePoint begun, TimePoint due, std::size_t had) : begun_(begun), due_(due), bytes_(had) {}
-  void note(std::size_t bytes) { bytes_ += bytes; }  // each piece that came since
-  Verdict at(TimePoint now) const;
-  TimePoint next_look(TimePoint now) const;  // when at() may change with no further piece
+  AnswerBuffering(TimePoint begun, TimePoint due, std::size_t had) : started_at_(begun), deadline_(due), received_bytes_(had) {}
+  void add_received(std::size_t bytes) { received_bytes_ += bytes; }  // each piece that came since
+  Decision at(TimePoint now) const;
+  TimePoint next_decision_at(TimePoint now) const;  // when at() may change with no further piece
 
  private:
-  bool is_due_far() const;
+  bool is_deadline_far() const;
   bool is_fast_enough(TimePoint now) const;
 
-  const TimePoint begun_, due_;
-  std::size_t bytes_;  // all that came
+  const TimePoint started_at_, deadline_;
+  std::size_t received_bytes_;  // all that came
 };
 
 }  // namespace troutstage::core
--- a/src/core/arrival_estimate.h
+++ b/src/core/arrival_estimate.h
@@ -17,18 +17,18 @@
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
   // Whoever waits for bytes looks so often.
-  static constexpr std::chrono::milliseconds kLookEvery{20};
+  static constexpr std::chrono::milliseconds kCheckInterval{20};
   // Two looks in a row take no longer than this, unless their thread is held up.
-  static constexpr std::chrono::milliseconds kLongestGap{45};
+  static constexpr std::chrono::milliseconds kMaxCheckGap{45};
 
   // `nothing_until`: no byte of the request had come by then.
-  explicit ArrivalEstimate(TimePoint nothing_until) : earliest_(nothing_until), last_look_(nothing_until) {}
+  explicit ArrivalEstimate(TimePoint no_bytes_until) : earliest_(no_bytes_until), last_check_(no_bytes_until) {}
 
   // No byte of the next request had come by `moment`: read before a call that found nothing, or before the answer
   // that its sender waits for.
-  void nothing_until(TimePoint moment);
+  void no_bytes_until(TimePoint moment);
   // A look that ended at `now` found nothing unread.
-  void found_nothing(TimePoint now);
+  void found_no_bytes(TimePoint now);
   // A look that ended at `now` found bytes. Later ones change nothing until a look finds nothing.
   void found_bytes(TimePoint now);
 
@@ -37,18 +37,18 @@
   TimePoint earliest() const { return earliest_; }
   TimePoint latest() const { return latest_; }
   // Bytes that belong to it may have come up to here.
-  TimePoint last_found() const { return last_found_; }
+  TimePoint last_bytes_found_at() const { return last_bytes_found_at_; }
   // The latest where no more than kLongestGap lies between the two, else the earliest: a request counted as too old is
   // answered early, one counted as too young is answered after its client has gone.
   TimePoint arrival() const;
   // The same where the system, which was seen to tell the truth, tells when the last byte came.
-  TimePoint arrival_as_told(TimePoint told) const;
+  TimePoint arrival_by_system_time(TimePoint told) const;
 
  private:
   TimePoint earliest_;
-  TimePoint last_look_;  // its end: the next one begins after it
+  TimePoint last_check_;  // its end: the next one begins after it
   TimePoint latest_{};
-  TimePoint last_found_{};  // the end of the last look that found bytes
+  TimePoint last_bytes_found_at_{};  // the end of the last look that found bytes
   bool has_bytes_ = false;
 };
 
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -10,8 +10,8 @@
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Tenths now() const = 0;
-  virtual std::chrono::steady_clock::time_point at(Tenths when) const = 0;  // for waits
+  virtual TenthsOfMs now() const = 0;
+  virtual std::chrono::steady_clock::time_point at(TenthsOfMs when) const = 0;  // for waits
 };
 
 }  // namespace troutstage::core
--- a/src/core/lanes.h
+++ b/src/core/lanes.h
@@ -10,28 +10,28 @@
 
 namespace troutstage::core {
 
-class Lanes {
+class WorkloadRegistry {
  public:
-  struct Offer {
+  struct WorkloadHandle {
     Index workload = 0;
-    std::shared_ptr<const void> lease;  // the number stands for this workload for as long as anybody has it
+    std::shared_ptr<const void> workload_reference;  // the number stands for this workload for as long as anybody has it
   };
-  struct Plan {
+  struct Assignment {
     std::vector<Workload> workloads;  // by number, also those that only invocations under way still have
-    std::vector<Index> like;          // by number: whose past it goes on from; kNone: it has none
-    std::vector<Offer> offers;        // in the order of what was given
+    std::vector<Index> inherits_from;          // by number: whose past it goes on from; kNone: it has none
+    std::vector<WorkloadHandle> workload_handles;        // in the order of what was given
   };
   // What is offered from now on.
-  Plan settle(const std::vector<std::string>& names, const std::vector<Workload>& workloads);
+  Assignment apply_settings(const std::vector<std::string>& names, const std::vector<Workload>& workloads);
 
  private:
-  struct Lane {
+  struct Entry {
     std::string name;
-    Workload terms;
-    std::shared_ptr<const int> lease;
-    bool offered = false;
+    Workload settings;
+    std::shared_ptr<const int> workload_reference;
+    bool is_configured = false;
   };
-  std::vector<Lane> lanes_;
+  std::vector<Entry> entries_;
 };
 
 }  // namespace troutstage::core
--- a/src/core/stage.h
+++ b/src/core/stage.h
@@ -6,35 +6,35 @@
 
 namespace troutstage::core {
 
-class Stage {
+class NodeState {
  public:
-  enum class Is { starting, ready, draining, stopping };
+  enum class Phase { starting, is_ready, draining, stopping };
 
-  Is is() const {
+  Phase phase() const {
     std::lock_guard held(lock_);
-    return stopping_ ? Is::stopping : drained_ ? Is::draining : up_ ? Is::ready : Is::starting;
+    return is_stopping_ ? Phase::stopping : is_drained_ ? Phase::draining : has_started_ ? Phase::is_ready : Phase::starting;
   }
-  bool ready() const { return is() == Is::ready; }
-  void came_up() {  // it can serve
+  bool is_ready() const { return phase() == Phase::is_ready; }
+  void mark_started() {  // it can serve
     std::lock_guard held(lock_);
-    up_ = true;
+    has_started_ = true;
   }
   // Both can be said any number of times. False: it is stopping, and there is no way back.
   bool drain() { return set_drained(true); }
   bool activate() { return set_drained(false); }
   bool stop() {  // false: it was told before
     std::lock_guard held(lock_);
-    return !std::exchange(stopping_, true);
+    return !std::exchange(is_stopping_, true);
   }
 
  private:
   bool set_drained(bool drained) {
     std::lock_guard held(lock_);
-    if (!stopping_) drained_ = drained;
-    return !stopping_;
+    if (!is_stopping_) is_drained_ = drained;
+    return !is_stopping_;
   }
   mutable std::mutex lock_;
-  bool up_ = false, drained_ = false, stopping_ = false;
+  bool has_started_ = false, is_drained_ = false, is_stopping_ = false;
 };
 
 }  // namespace troutstage::core
--- a/src/core/stop_plan.cpp
+++ b/src/core/stop_plan.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 // New connections go on coming for up to 0.4 s after the order.
-constexpr std::chrono::milliseconds kAccepting{550};
+constexpr std::chrono::milliseconds kAcceptTime{550};
 
 }  // namespace
 
-Stop stop_before_kill(std::chrono::milliseconds longest) {
-  const auto kill = std::min(longest, kLongestLimit) + kKilledAfterLimit;
-  const auto answering = kill - 2 * kLongestHoldUp - kLastAnswers;
-  const auto keeping = answering * 3 / 4;
-  return {std::min(kAccepting, keeping), keeping, answering};
+ShutdownPlan plan_shutdown(std::chrono::milliseconds longest) {
+  const auto kill = std::min(longest, kMaxTimeLimit) + kKillAfterTimeLimit;
+  const auto answer_within = kill - 2 * kMaxStall - kFinalAnswersTime;
+  const auto keep_connections_for = answer_within * 3 / 4;
+  return {std::min(kAcceptTime, keep_connections_for), keep_connections_for, answer_within};
 }
 
 }  // namespace troutstage::core
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Tenths kPeriod = 10000, kTooLong = 30000, kAnswer = 3000;
+constexpr TenthsOfMs kPeriod = 10000, kTooLong = 30000, kAnswer = 3000;
 constexpr int kHelpers = 3;
 
 }  // namespace
@@ -20,10 +20,10 @@
   return {to, members::encode(m), m.body.index()};
 }
 
-Heartbeats::Heartbeats(Index self, std::uint32_t nodes, std::uint64_t life, Tenths now)
-    : Baseline(self, nodes, life), heard_(nodes, now), next_(now + static_cast<Tenths>(self * 7919U % kPeriod)) {}
+Heartbeats::Heartbeats(Index self, std::uint32_t nodes, std::uint64_t life, TenthsOfMs now)
+    : Baseline(self, nodes, life), heard_(nodes, now), next_(now + static_cast<TenthsOfMs>(self * 7919U % kPeriod)) {}
 
-void Heartbeats::step(Tenths now, const MemberEvent& event, std::vector<Send>& out) {
+void Heartbeats::step(TenthsOfMs now, const MemberEvent& event, std::vector<Send>& out) {
   if (const Came* came = std::get_if<Came>(&event)) {
     heard_[came->from] = now;
     listed_[came->from] = 1;
@@ -38,9 +38,9 @@
     if (n != self_ && listed_[n] && now - heard_[n] > kTooLong) listed_[n] = 0, removed_.push_back(n);
 }
 
-PlainSwim::PlainSwim(Index self, std::uint32_t nodes, std::uint64_t life, std::uint64_t seed, Tenths now)
+PlainSwim::PlainSwim(Index self, std::uint32_t nodes, std::uint64_t life, std::uint64_t seed, TenthsOfMs now)
     : Baseline(self, nodes, life), random_(static_cast<std::uint_fast64_t>(seed)), lives_(nodes, 0), refuted_(nodes, 0),
-      next_(now + static_cast<Tenths>(random_() % kPeriod)) {
+      next_(now + static_cast<TenthsOfMs>(random_() % kPeriod)) {
   lives_[self] = life;
 }
 
@@ -79,7 +79,7 @@
   }
 }
 
-void PlainSwim::step(Tenths now, const MemberEvent& event, std::vector<Send>& out) {
+void PlainSwim::step(TenthsOfMs now, const MemberEvent& event, std::vector<Send>& out) {
   if (const Came* came = std::get_if<Came>(&event)) {
     auto read = decode(came->bytes, 0);
     Message* m = std::get_if<Message>(&read);
--- a/src/lab/baselines.h
+++ b/src/lab/baselines.h
@@ -13,7 +13,7 @@
 class Baseline {
  public:
   virtual ~Baseline() = default;
-  virtual void step(Tenths now, const members::MemberEvent& event, std::vector<members::Send>& out) = 0;
+  virtual void step(TenthsOfMs now, const members::MemberEvent& event, std::vector<members::Send>& out) = 0;
   const std::vector<char>& listed() const { return listed_; }
   // Whom it took off its list by what it saw itself, since the last call.
   std::vector<Index> removed() { return std::exchange(removed_, {}); }
@@ -29,18 +29,18 @@
 
 class Heartbeats : public Baseline {
  public:
-  Heartbeats(Index self, std::uint32_t nodes, std::uint64_t life, Tenths now);
-  void step(Tenths now, const members::MemberEvent& event, std::vector<members::Send>& out) override;
+  Heartbeats(Index self, std::uint32_t nodes, std::uint64_t life, TenthsOfMs now);
+  void step(TenthsOfMs now, const members::MemberEvent& event, std::vector<members::Send>& out) override;
 
  private:
-  std::vector<Tenths> heard_;
-  Tenths next_;
+  std::vector<TenthsOfMs> heard_;
+  TenthsOfMs next_;
 };
 
 class PlainSwim : public Baseline {
  public:
-  PlainSwim(Index self, std::uint32_t nodes, std::uint64_t life, std::uint64_t seed, Tenths now);
-  void step(Tenths now, const members::MemberEvent& event, std::vector<members::Send>& out) override;
+  PlainSwim(Index self, std::uint32_t nodes, std::uint64_t life, std::uint64_t seed, TenthsOfMs now);
+  void step(TenthsOfMs now, const members::MemberEvent& event, std::vector<members::Send>& out) override;
 
  private:
   void spread(const members::News& news);
@@ -52,7 +52,7 @@
   std::vector<std::uint32_t> refuted_;
   std::vector<std::pair<members::News, int>> rumours_;
   std::map<std::uint32_t, std::pair<Index, std::uint32_t>> asked_;  // for whom, under what number there
-  Tenths next_, sent_ = 0;
+  TenthsOfMs next_, sent_ = 0;
   Index probing_ = kNone;
   std::uint32_t nonce_ = 0;
   bool indirect_ = false;
--- a/src/lab/command.cpp
+++ b/src/lab/command.cpp
@@ -112,7 +112,7 @@
   if (!(seconds >= 1 && seconds <= 86400)) throw Malformed("--seconds is not between 1 and 86400");
   if (!(loss >= 0 && loss < 1)) throw Malformed("--loss is not between 0 and 1");
   if (std::find(std::begin(kDays), std::end(kDays), name) == std::end(kDays)) throw Malformed("unknown day '" + name + "'");
-  std::vector<Policy> policies{word(given["policy"].as<std::string>(), kPolicies, "policy")};
+  std::vector<Policy> policies{parse_enum(given["policy"].as<std::string>(), kPolicies, "policy")};
   if (given.count("baseline")) policies = {Policy::agreed, Policy::heartbeats, Policy::swim};
   std::optional<Scenario> told;
   if (given.count("scenario")) {
--- a/src/lab/explore.cpp
+++ b/src/lab/explore.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr Tenths kNow = 24 * 3600 * Tenths{10000};
+constexpr TenthsOfMs kNow = 24 * 3600 * TenthsOfMs{10000};
 constexpr std::uint64_t kLife = 1780000000000, kAgain = 200000;  // milliseconds between a node's two lives
-constexpr Tenths kLostAfter = 400000;  // past the time in which a majority counts as lost
-constexpr Tenths kMeanwhile = 23000;   // goes by elsewhere at the least: attempts begun before are over, no majority is lost
+constexpr TenthsOfMs kLostAfter = 400000;  // past the time in which a majority counts as lost
+constexpr TenthsOfMs kMeanwhile = 23000;   // goes by elsewhere at the least: attempts begun before are over, no majority is lost
 constexpr std::uint64_t kBase = 5000;  // when the first view was formed, before any life
 
 struct Letter {
@@ -34,7 +34,7 @@
   int proposed = 0, doubled = 0, formed = 0;
   bool crashed = false;
   std::vector<char> lost;  // by node: time has gone by there in which it knew of no majority
-  std::vector<Tenths> clock;
+  std::vector<TenthsOfMs> clock;
   std::set<std::uint64_t> chosen;  // what a majority has stood by at one moment
   std::uint64_t dead_stood_by = 0;  // the one that crashed: it stands by nothing else any more
 };
@@ -93,7 +93,7 @@
     std::vector<std::uint64_t> all{static_cast<std::uint64_t>(w.proposed), static_cast<std::uint64_t>(w.doubled), w.crashed,
                                    static_cast<std::uint64_t>(w.formed)};
     for (const char lost : w.lost) all.push_back(static_cast<std::uint64_t>(lost));
-    for (const Tenths at : w.clock) all.push_back(static_cast<std::uint64_t>(at));
+    for (const TenthsOfMs at : w.clock) all.push_back(static_cast<std::uint64_t>(at));
     all.push_back(w.dead_stood_by);
     all.insert(all.end(), w.chosen.begin(), w.chosen.end());
     for (const Engine& e : w.engines) all.push_back(e.agreeing());
--- a/src/lab/members_world.cpp
+++ b/src/lab/members_world.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Tenths kSecond = 10000, kStart = 24 * 3600 * kSecond;
+constexpr TenthsOfMs kSecond = 10000, kStart = 24 * 3600 * kSecond;
 constexpr std::uint64_t kWallMs = 1780000000000;  // of the virtual clock's start
 constexpr std::size_t kSocketHolds = 200;         // datagrams that a paused process finds when it goes on
 constexpr double kDisturbed = 12;                 // seconds for which a node that was disturbed may still be missed
@@ -44,7 +44,7 @@
   std::knuth_b random_;
 };
 
-Tenths tenths_of(double seconds) { return static_cast<Tenths>(std::llround(seconds * kSecond)); }
+TenthsOfMs tenths_of(double seconds) { return static_cast<TenthsOfMs>(std::llround(seconds * kSecond)); }
 
 struct Machine {
   std::unique_ptr<Engine> engine;
@@ -53,12 +53,12 @@
   bool live = false, paused = false, leaving = false;
   std::deque<std::pair<Index, std::string>> held;  // datagrams of a paused process
   std::uint64_t number = 0, incarnation = 0, sent = 0;
-  Tenths disturbed_until = -1, paused_at = 0;
+  TenthsOfMs disturbed_until = -1, paused_at = 0;
   int links_cut = 0;
 };
 
 struct Due {
-  Tenths at;
+  TenthsOfMs at;
   std::uint64_t order;
   enum class What { pulse, datagram, fault_on, fault_off, sample } what;
   Index node = kNone, from = kNone;
@@ -77,7 +77,7 @@
     for (Index n = 0; n < sc_.nodes; ++n) start(n);
     push({kStart + kSecond / 20, 0, Due::What::sample});
     // They come together first; the faults' times count from there.
-    const Tenths patience = kStart + 60 * kSecond;
+    const TenthsOfMs patience = kStart + 60 * kSecond;
     while (!due_.empty() && due_.top().at < patience && !(due_.top().at > kStart + 2 * kSecond && one_view())) next();
     if (sc_.policy == Policy::agreed && !one_view()) broken("never one view at the start");
     out_.together_s = static_cast<double>(now_ - kStart) / kSecond;
@@ -90,9 +90,9 @@
       push({zero_ + tenths_of(f.from), 0, Due::What::fault_on, kNone, kNone, 0, i, {}});
       if (f.until > f.from) push({zero_ + tenths_of(f.until), 0, Due::What::fault_off, kNone, kNone, 0, i, {}});
     }
-    const Tenths end = zero_ + tenths_of(sc_.seconds);
+    const TenthsOfMs end = zero_ + tenths_of(sc_.seconds);
     while (!due_.empty() && due_.top().at <= end) next();
-    const Tenths settled = end + tenths_of(sc_.settle);
+    const TenthsOfMs settled = end + tenths_of(sc_.settle);
     while (!due_.empty() && due_.top().at <= settled && !one_view()) next();
     out_.one_view = one_view();
     if (sc_.policy == Policy::agreed && sc_.settle > 0 && !out_.one_view) {
@@ -146,7 +146,7 @@
     } else {
       m.baseline = std::make_unique<PlainSwim>(n, sc_.nodes, m.life, seed, now_);
     }
-    push({now_ + static_cast<Tenths>(seeds_.real() * 500), 0, Due::What::pulse, n, kNone, m.run, 0, {}});
+    push({now_ + static_cast<TenthsOfMs>(seeds_.real() * 500), 0, Due::What::pulse, n, kNone, m.run, 0, {}});
   }
 
   void next() {
@@ -308,7 +308,7 @@
     tell(fmt::format("{} {}", on ? "on: " : "off:", text(f)));
     if (on) on_.push_back(&f);
     else std::erase(on_, &f);
-    const Tenths end = zero_ + tenths_of(std::max(f.until, f.from) + kDisturbed);
+    const TenthsOfMs end = zero_ + tenths_of(std::max(f.until, f.from) + kDisturbed);
     const bool disturbs = f.kind != Fault::Kind::loss && f.kind != Fault::Kind::twice && f.kind != Fault::Kind::delay && f.kind != Fault::Kind::cut_link;
     // In a split either side may be the one that the others go on without.
     if (f.kind == Fault::Kind::split)
@@ -418,9 +418,9 @@
   }
 
   struct Crashed {
-    Tenths at;
+    TenthsOfMs at;
     std::uint64_t life;
-    Tenths first;
+    TenthsOfMs first;
   };
   const Scenario& sc_;
   const std::function<void(const std::string&)>& log_;
@@ -434,7 +434,7 @@
   std::map<Index, Crashed> crashed_;
   std::deque<std::string> recent_;
   Outcome out_;
-  Tenths now_ = kStart, zero_ = kStart, sampled_ = 0;
+  TenthsOfMs now_ = kStart, zero_ = kStart, sampled_ = 0;
   std::uint64_t order_ = 0, step_ = 0, runs_ = 0;
   double part_sum_ = 0;
   bool counting_ = false;
@@ -474,7 +474,7 @@
       Fault f;
       bool named = false;
       for (const auto& [key, v] : one.items()) {
-        if (key == "kind") f.kind = word(v.get<std::string>(), kKinds, "kind of fault"), named = true;
+        if (key == "kind") f.kind = parse_enum(v.get<std::string>(), kKinds, "kind of fault"), named = true;
         else if (key == "from") f.from = number(v, at + key, 0, 86400);
         else if (key == "until") f.until = number(v, at + key, 0, 86400);
         else if (key == "amount") f.amount = number(v, at + key, 0, 60000);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -28,11 +28,11 @@
 constexpr std::string_view kVersion = "0.3.0";
 constexpr std::chrono::milliseconds kLogPatience{150};  // at the end, for lines that are not written yet
 
-core::Stop stop_before_kill(const Settings& settings) {
+core::ShutdownPlan plan_shutdown(const Settings& settings) {
   std::chrono::milliseconds longest{0};
   for (const Workload& w : settings.workloads)
     longest = std::max(longest, std::chrono::milliseconds(w.time_limit / 10));
-  return core::stop_before_kill(longest);
+  return core::plan_shutdown(longest);
 }
 
 std::string environment(const char* name) {
@@ -72,11 +72,11 @@
     } catch (const Malformed& wrong) {
       throw Malformed("fleet file '" + fleet + "': " + wrong.what());
     }
-    if (config.fleet.membership.enabled) config.own_descriptors += net::Peers::kDescriptors;
+    if (config.fleet.membership.enabled) config.own_descriptors += net::MembershipTransport::kDescriptors;
   }
   if (!config.mgmt.empty()) net::parse_address(config.mgmt), config.own_descriptors += ops::Door::kDescriptors;
   if (const std::string passed = environment("RELAY_PASSED_SOCKET"); !passed.empty()) {
-    const std::int64_t fd = whole_number(passed, "RELAY_PASSED_SOCKET");
+    const std::int64_t fd = parse_integer(passed, "RELAY_PASSED_SOCKET");
     if (fd < 3 || fd > 1000000) throw Malformed("RELAY_PASSED_SOCKET is out of range");
     config.passed_socket = static_cast<int>(fd);
     config.scratch = environment("TMPDIR");
@@ -92,7 +92,7 @@
   bool ready() override { return node_.ready(); }
   bool drain() override { return node_.drain(); }
   bool activate() override { return node_.activate(); }
-  std::string figures() override { return ops::figures_text(node_.figures()); }
+  std::string metrics() override { return ops::figures_text(node_.metrics()); }
   std::optional<std::string> members() override { return node_.members(); }
 
  private:
@@ -128,7 +128,7 @@
       return false;
     }
   };
-  if (!net::persist("pthread_create", starts)) throw std::runtime_error("can't start the thread for the log");
+  if (!net::retry_on_shortage("pthread_create", starts)) throw std::runtime_error("can't start the thread for the log");
 }
 
 int serve(const Config& config, const std::string& path, const sigset_t& signals) {
@@ -143,7 +143,7 @@
     if (got == SIGHUP) node.reload_in_background(path);
     else log::info("{}", node.counters_text());
   }
-  node.stop(stop_before_kill(*node.settings()));
+  node.stop(plan_shutdown(*node.settings()));
   log::info("{}", node.counters_text());
   return 0;
 }
@@ -223,7 +223,7 @@
                      .options(all).positional(places).run(),
                  given);
   constexpr std::pair<std::string_view, log::Format> kFormats[] = {{"text", log::Format::text}, {"json", log::Format::json}};
-  if (given.count("log-format")) log::set_format(word(given["log-format"].as<std::string>(), kFormats, "log format"));
+  if (given.count("log-format")) log::set_format(parse_enum(given["log-format"].as<std::string>(), kFormats, "log format"));
   if (given.count("verbose")) log::set_least(log::Level::debug);
   if (command == "migrate") return migrate_file(given);
   const sigset_t signals = command == "serve" ? block_signals() : sigset_t{};
--- a/src/members/engine.cpp
+++ b/src/members/engine.cpp
@@ -11,19 +11,19 @@
 namespace troutstage::members {
 namespace {
 
-constexpr Tenths kRetry = 2000;       // what has got no answer is said again
-constexpr Tenths kSeekEvery = 2500;   // one that is no member asks round
-constexpr Tenths kCookie = 20000;     // a cookie is good for so long, and twice that at the most
-constexpr Tenths kRecent = 20000;     // a greeting counts for so long
-constexpr Tenths kQuiet = 1500, kQuietJoin = 3000;  // a change waits until no more has been said for so long
-constexpr Tenths kGather = 10000;     // and this long at the most
-constexpr Tenths kDeputyAfter = 15000, kDeputyStep = 5000;  // where the first in line does not propose it
-constexpr Tenths kAttempt = 20000;    // an attempt that has not come through is given up
-constexpr Tenths kDeaf = 30000;       // one that did not hear is passed over for so long
+constexpr TenthsOfMs kRetry = 2000;       // what has got no answer is said again
+constexpr TenthsOfMs kSeekEvery = 2500;   // one that is no member asks round
+constexpr TenthsOfMs kCookie = 20000;     // a cookie is good for so long, and twice that at the most
+constexpr TenthsOfMs kRecent = 20000;     // a greeting counts for so long
+constexpr TenthsOfMs kQuiet = 1500, kQuietJoin = 3000;  // a change waits until no more has been said for so long
+constexpr TenthsOfMs kGather = 10000;     // and this long at the most
+constexpr TenthsOfMs kDeputyAfter = 15000, kDeputyStep = 5000;  // where the first in line does not propose it
+constexpr TenthsOfMs kAttempt = 20000;    // an attempt that has not come through is given up
+constexpr TenthsOfMs kDeaf = 30000;       // one that did not hear is passed over for so long
 constexpr int kTries = 5;
 constexpr std::size_t kDeciders = 3;  // told of what is seen
 constexpr int kMostStrain = 4;
-constexpr Tenths kFirstBack = 10000, kMostBack = 300000;  // before one that was removed asks to come back
+constexpr TenthsOfMs kFirstBack = 10000, kMostBack = 300000;  // before one that was removed asks to come back
 constexpr std::size_t kLeastRumours = 64, kNewsEach = 3, kKeptBlobs = 12;
 constexpr std::uint64_t kEpochMs = 1704067200000;  // 2024 began, Unix time in milliseconds
 
@@ -33,7 +33,7 @@
 
 class Engine::Impl {
  public:
-  Impl(const Setup& setup, Tenths now)
+  Impl(const Setup& setup, TenthsOfMs now)
       : s_(setup), random_(static_cast<std::uint_fast64_t>(setup.seed)), parts_(setup.sharing),
         begun_(now), last_pulse_(now), now_(now), life_(setup.life) {
     nodes_.resize(s_.roster);
@@ -42,7 +42,7 @@
     if (!s_.resumed.empty()) resume();
   }
 
-  const Output& decide(Tenths now, const MemberEvent& event) {
+  const Output& decide(TenthsOfMs now, const MemberEvent& event) {
     now_ = std::max(now, now_);
     out_.sends.clear(), out_.notes.clear(), out_.dropped = Dropped::none;
     if (now_ - last_pulse_ > timing().late()) woke_late();
@@ -69,9 +69,9 @@
     return std::any_of(standing_.begin(), standing_.end(),
                        [](const auto& s) { return s.second.said.what == Statement::What::accuses; });
   }
-  double part(Tenths now) const { return parts_.part(now, member() ? newest_at_ : now - s_.sharing.lease, wide()); }
+  double part(TenthsOfMs now) const { return parts_.part(now, member() ? newest_at_ : now - s_.sharing.lease, wide()); }
 
-  Status status(Tenths now) const {
+  Status status(TenthsOfMs now) const {
     Status st;
     st.self = s_.node;
     st.member = member();
@@ -115,40 +115,40 @@
   struct Node {
     std::uint64_t life = 0;
     std::uint32_t refuted = 0;
-    Tenths suspect_until = 0;
+    TenthsOfMs suspect_until = 0;
     std::uint32_t cookie = 0;  // it gave
-    Tenths cookie_at = INT64_MIN / 2;
-    Tenths lost_at = INT64_MIN / 2;  // it greeted as one that has lost the majority, both ways open
-    Tenths lost_said = INT64_MIN / 2;  // it answered as such a one
-    Tenths led_at = INT64_MIN / 2;   // it was told to be the lowest of these
+    TenthsOfMs cookie_at = INT64_MIN / 2;
+    TenthsOfMs lost_at = INT64_MIN / 2;  // it greeted as one that has lost the majority, both ways open
+    TenthsOfMs lost_said = INT64_MIN / 2;  // it answered as such a one
+    TenthsOfMs led_at = INT64_MIN / 2;   // it was told to be the lowest of these
     std::string name, zone;
     bool gone = false, gone_left = false;
     std::uint64_t gone_life = 0, removed = 0;  // as it was shown; the newest life that left a view
-    Tenths roll_heard = INT64_MIN / 2;  // the roll call that it last answered was sent
+    TenthsOfMs roll_heard = INT64_MIN / 2;  // the roll call that it last answered was sent
     int tries = 0;                      // rounds of statements in which it heard none
-    Tenths tried_at = INT64_MIN / 2;
-    Tenths deaf_until = 0;
+    TenthsOfMs tried_at = INT64_MIN / 2;
+    TenthsOfMs deaf_until = 0;
   };
   struct Watched {
-    Tenths next = 0, sent = 0, heard = 0, suspect_since = 0, tried = 0;
+    TenthsOfMs next = 0, sent = 0, heard = 0, suspect_since = 0, tried = 0;
     std::uint32_t nonce = 0;
     bool open = false, asked = false, suspect = false;
     std::set<Index> confirmed;
   };
   struct Pending {
-    Tenths sent = 0;
+    TenthsOfMs sent = 0;
     Index whom = kNone;    // kNone: a roll call
     Index origin = kNone;  // who asked for it
     std::uint32_t origin_nonce = 0;
   };
   struct Standing {
     Statement said;
-    Tenths since = 0, sent = INT64_MIN / 2, anew = 0;
+    TenthsOfMs since = 0, sent = INT64_MIN / 2, anew = 0;
     std::set<Index> heard;
   };
   struct Said {
     Statement said;
-    Tenths at = 0;
+    TenthsOfMs at = 0;
   };
   struct Attempt {
     bool forms = false, prepares = false, no_change = false;
@@ -156,7 +156,7 @@
     std::string blob;
     std::vector<Index> targets;
     std::set<Index> yes;
-    Tenths since = 0, sent = 0;
+    TenthsOfMs since = 0, sent = 0;
     std::uint64_t best = 0, best_hash = 0;  // the newest that was accepted before
     Index best_from = kNone;
   };
@@ -165,7 +165,7 @@
     std::uint32_t size = 0;
     std::string bytes;
     Index from = kNone;
-    Tenths asked = 0, since = 0;
+    TenthsOfMs asked = 0, since = 0;
   };
   struct Rumour {
     News news;
@@ -197,7 +197,7 @@
     Message m;
     m.header = {s_.cluster, s_.node, life_, refuted_, view_.number, kNoAge};
     if (view_.number != 0) {
-      const Tenths age = (now_ - newest_at_) / 8 + 1;
+      const TenthsOfMs age = (now_ - newest_at_) / 8 + 1;
       if (age < kNoAge) m.header.age = static_cast<std::uint32_t>(age);
     }
     m.body = std::move(body);
@@ -314,7 +314,7 @@
     }
     // As of its age before this answer, so at the asking less that age at the least, nothing newer was agreed on.
     if (h.number == view_.number && h.age != kNoAge)
-      newest_at_ = std::max(newest_at_, p.sent - static_cast<Tenths>(h.age) * 8 - 1);
+      newest_at_ = std::max(newest_at_, p.sent - static_cast<TenthsOfMs>(h.age) * 8 - 1);
     if (p.whom == kNone) {
       if (ack.about != h.from || h.number != view_.number) return;
       if (ack.holds) nodes_[h.from].roll_heard = std::max(nodes_[h.from].roll_heard, p.sent);
@@ -358,7 +358,7 @@
       life_ = std::max(w.your_life, life_ + refuted_) + 1, refuted_ = 0;
     // A majority goes on under an older number: this node's own view was formed by one whose clock was ahead, and those
     // that held it have been started anew since. It could never be told of what they agree on.
-    if (!w.lost && h.number != 0 && h.number < view_.number && static_cast<Tenths>(h.age) * 8 < s_.sharing.lease && majority_lost()) begin_anew();
+    if (!w.lost && h.number != 0 && h.number < view_.number && static_cast<TenthsOfMs>(h.age) * 8 < s_.sharing.lease && majority_lost()) begin_anew();
     if (w.lost && w.lead < nodes_.size()) nodes_[w.lead].led_at = now_;
     if (w.lost && w.lead == h.from) p.led_at = now_;
     p.lost_said = w.lost ? now_ : INT64_MIN / 2;
@@ -472,7 +472,7 @@
         send(n, Probe{w.nonce, w.suspect, false, take_news()});
       }
       // A node that is itself slow accuses later.
-      const Tenths patience = timing().suspect * (2 + strain_) / 2;
+      const TenthsOfMs patience = timing().suspect * (2 + strain_) / 2;
       if (!w.suspect && now_ - w.heard >= patience) {
         w.suspect = true, w.suspect_since = now_;
         nodes_[n].suspect_until = now_ + timing().suspect;
@@ -485,7 +485,7 @@
       const auto& by = watchers_of(n);
       const auto others = std::count_if(by.begin(), by.end(), [&](Index o) { return !is_me(o) && now_ >= nodes_[o].suspect_until; });
       const double sure = others <= 0 ? 1 : std::min(1.0, static_cast<double>(w.confirmed.size()) / static_cast<double>(others));
-      const auto wait = timing().confirm_most - static_cast<Tenths>(sure * static_cast<double>(timing().confirm_most - timing().confirm_least));
+      const auto wait = timing().confirm_most - static_cast<TenthsOfMs>(sure * static_cast<double>(timing().confirm_most - timing().confirm_least));
       const bool accused = standing_.count(n) > 0 && standing_[n].said.what == Statement::What::accuses;
       if (!accused && now_ - w.suspect_since >= wait && any_heard) {
         state(n, Statement::What::accuses, life_in_view(n), nodes_[n].refuted);
@@ -504,7 +504,7 @@
   }
 
   // A sign of life that answers what was sent then.
-  void alive(Index n, Watched& w, Tenths sent) {
+  void alive(Index n, Watched& w, TenthsOfMs sent) {
     w.heard = std::max(w.heard, sent);
     if (!w.suspect || sent < w.suspect_since) return;
     w.suspect = false, w.confirmed.clear();
@@ -721,13 +721,13 @@
     const bool unsettled = acting_ && now_ - unsettled_at_ < timing().roll_call && now_ - installed_at_ > kDeputyAfter;
     if (!c.any() && !(accepted_ != 0 && now_ - accepted_at_ > kDeputyAfter) && !unsettled) { due_since_ = INT64_MAX; return; }
     due_since_ = std::min(due_since_, now_);
-    const Tenths waited = now_ - due_since_;
-    const Tenths quiet = c.dead.empty() && c.left.empty() ? kQuietJoin : kQuiet;
+    const TenthsOfMs waited = now_ - due_since_;
+    const TenthsOfMs quiet = c.dead.empty() && c.left.empty() ? kQuietJoin : kQuiet;
     if (waited < kGather && (c.unstable || now_ - said_at_ < quiet)) return;
     if (!acting_) {
-      Tenths rank = 0;
+      TenthsOfMs rank = 0;
       for (const Member& m : view_.members) rank += m.node < s_.node ? 1 : 0;
-      if (waited < kDeputyAfter + kDeputyStep * std::min<Tenths>(rank, 8)) return;
+      if (waited < kDeputyAfter + kDeputyStep * std::min<TenthsOfMs>(rank, 8)) return;
     }
     start(c);
   }
@@ -1035,7 +1035,7 @@
     count_roll();
   }
   void count_roll() {
-    std::vector<Tenths> at;
+    std::vector<TenthsOfMs> at;
     for (const Member& m : view_.members) at.push_back(is_me(m.node) ? (holds() ? now_ : INT64_MIN / 2) : nodes_[m.node].roll_heard);
     const std::size_t most = view_.majority();
     if (at.size() < most) return;
@@ -1044,7 +1044,7 @@
   }
 
   // --- coming in, and coming together again
-  std::uint32_t cookie_for(Index n, Tenths back) const {
+  std::uint32_t cookie_for(Index n, TenthsOfMs back) const {
     const std::uint64_t words[] = {secret_, n, static_cast<std::uint64_t>(now_ / kCookie - back)};
     return static_cast<std::uint32_t>(XXH64(words, sizeof words, 1)) | 1;
   }
@@ -1128,7 +1128,7 @@
   struct Viewing {
     Index from = kNone;
     std::uint64_t hash = 0;
-    Tenths asked = 0;
+    TenthsOfMs asked = 0;
     int tries = 0;
   };
   struct Offering {
@@ -1139,8 +1139,8 @@
   Setup s_;
   std::knuth_b random_;
   Parts parts_;
-  const Tenths begun_;
-  Tenths last_pulse_, now_;
+  const TenthsOfMs begun_;
+  TenthsOfMs last_pulse_, now_;
   std::uint64_t life_, secret_ = 0;
   std::uint32_t refuted_ = 0, nonce_ = 0, statement_id_ = 0;
   Output out_;
@@ -1162,23 +1162,23 @@
   std::deque<std::pair<std::uint64_t, std::string>> blobs_;
   std::deque<std::pair<std::uint64_t, std::uint64_t>> history_;  // base and hash of what was installed
   std::uint64_t promised_ = 0, accepted_ = 0, accepted_hash_ = 0, round_ = 0, floor_ = 0, floor_hash_ = 0, formed_at_ = 0;
-  Tenths newest_at_ = INT64_MIN / 2;  // as of then no newer view had been agreed on
-  Tenths installed_at_ = INT64_MIN / 2, accepted_at_ = 0, accepted_last_ = 0, refuted_at_ = INT64_MIN / 2, rolled_at_ = INT64_MIN / 2;
-  Tenths said_at_ = INT64_MIN / 2, due_since_ = INT64_MAX, backoff_until_ = 0, sane_from_ = 0, sought_at_ = INT64_MIN / 2;
-  Tenths unsettled_at_ = INT64_MIN / 2, gathered_at_ = 0, gather_since_ = INT64_MAX, back_from_ = 0, back_wait_ = 0, joined_at_ = 0;
+  TenthsOfMs newest_at_ = INT64_MIN / 2;  // as of then no newer view had been agreed on
+  TenthsOfMs installed_at_ = INT64_MIN / 2, accepted_at_ = 0, accepted_last_ = 0, refuted_at_ = INT64_MIN / 2, rolled_at_ = INT64_MIN / 2;
+  TenthsOfMs said_at_ = INT64_MIN / 2, due_since_ = INT64_MAX, backoff_until_ = 0, sane_from_ = 0, sought_at_ = INT64_MIN / 2;
+  TenthsOfMs unsettled_at_ = INT64_MIN / 2, gathered_at_ = 0, gather_since_ = INT64_MAX, back_from_ = 0, back_wait_ = 0, joined_at_ = 0;
   std::size_t gathered_ = 0;
   int strain_ = 0;  // how far this node doubts itself
   bool leaving_ = false, left_heard_ = false, offered_first_ = false, acting_ = false, had_majority_ = false, alone_ = false, roster_ordered_ = false;
 };
 
-Engine::Engine(const Setup& setup, Tenths now) : impl_(std::make_unique<Impl>(setup, now)) {}
+Engine::Engine(const Setup& setup, TenthsOfMs now) : impl_(std::make_unique<Impl>(setup, now)) {}
 Engine::~Engine() = default;
 Engine::Engine(Engine&&) noexcept = default;
 Engine::Engine(const Engine& other) : impl_(std::make_unique<Impl>(*other.impl_)) {}
-const Output& Engine::decide(Tenths now, const MemberEvent& event) { return impl_->decide(now, event); }
+const Output& Engine::decide(TenthsOfMs now, const MemberEvent& event) { return impl_->decide(now, event); }
 const View& Engine::view() const { return impl_->view(); }
-Status Engine::status(Tenths now) const { return impl_->status(now); }
-double Engine::part(Tenths now) const { return impl_->part(now); }
+Status Engine::status(TenthsOfMs now) const { return impl_->status(now); }
+double Engine::part(TenthsOfMs now) const { return impl_->part(now); }
 bool Engine::accuses_any() const { return impl_->accuses_any(); }
 std::uint64_t Engine::agreeing() const { return impl_->agreeing(); }
 std::uint64_t Engine::stands_by() const { return impl_->stands_by(); }
--- a/src/members/engine.h
+++ b/src/members/engine.h
@@ -16,17 +16,17 @@
 
 // In tenths of a millisecond.
 struct Timing {
-  Tenths pulse = 500;           // how often the engine is to be woken
-  Tenths probe = 3000;          // each watched node is probed once in
-  Tenths answer = 1000;         // others are asked to probe it after
-  Tenths suspect = 12000;       // without a sign of life it is suspected after
-  Tenths confirm_most = 12000;  // suspected for so long it is accused;
-  Tenths confirm_least = 4000;  // so long, where all its other watchers suspect it too
-  Tenths roll_call = 10000;     // members are asked once in whether they hold to the view
-  Tenths lost = 70000;          // a majority that was not known of for so long is lost
+  TenthsOfMs pulse = 500;           // how often the engine is to be woken
+  TenthsOfMs probe = 3000;          // each watched node is probed once in
+  TenthsOfMs answer = 1000;         // others are asked to probe it after
+  TenthsOfMs suspect = 12000;       // without a sign of life it is suspected after
+  TenthsOfMs confirm_most = 12000;  // suspected for so long it is accused;
+  TenthsOfMs confirm_least = 4000;  // so long, where all its other watchers suspect it too
+  TenthsOfMs roll_call = 10000;     // members are asked once in whether they hold to the view
+  TenthsOfMs lost = 70000;          // a majority that was not known of for so long is lost
   int helpers = 3;              // asked to probe
   // A pause of the node itself that it takes note of: what it missed meanwhile is held against nobody.
-  Tenths late() const { return suspect / 3; }
+  TenthsOfMs late() const { return suspect / 3; }
 };
 
 struct Setup {
@@ -100,14 +100,14 @@
 
 class Engine {
  public:
-  Engine(const Setup& setup, Tenths now);
+  Engine(const Setup& setup, TenthsOfMs now);
   ~Engine();
   Engine(Engine&&) noexcept;
   Engine(const Engine& other);  // goes on by itself from the same state
-  const Output& decide(Tenths now, const MemberEvent& event);
+  const Output& decide(TenthsOfMs now, const MemberEvent& event);
   const View& view() const;   // the last that was agreed on, as far as this node knows
-  Status status(Tenths now) const;
-  double part(Tenths now) const;
+  Status status(TenthsOfMs now) const;
+  double part(TenthsOfMs now) const;
   bool accuses_any() const;
   std::uint64_t agreeing() const;  // a hash of all that its next words on a change of the view depend on
   std::uint64_t stands_by() const;  // the newest view that it holds or has accepted; 0: none
--- a/src/members/parts.h
+++ b/src/members/parts.h
@@ -13,8 +13,8 @@
 
 struct Sharing {
   double reserve = 0.5;    // of the whole, given out for good: 0 to 1
-  Tenths lease = 50000;    // so old the knowledge may be that the view is the newest
-  Tenths hold = 65000;     // after a change what it freed is used this much later: over the lease, and the window of
+  TenthsOfMs lease = 50000;    // so old the knowledge may be that the view is the newest
+  TenthsOfMs hold = 65000;     // after a change what it freed is used this much later: over the lease, and the window of
                            // time in which sends count
 };
 
@@ -23,7 +23,7 @@
   explicit Parts(const Sharing& sharing) : sharing_(sharing) {}
 
   // A view was accepted. `in`: the node is one of its `size` members.
-  void installed(Tenths now, std::uint64_t number, bool in, std::size_t size) {
+  void installed(TenthsOfMs now, std::uint64_t number, bool in, std::size_t size) {
     const bool follows = !held_.empty() && number == held_.back().number + 1;
     if (!in) held_.clear();
     // One that was skipped may have been larger than both round it.
@@ -34,7 +34,7 @@
   }
 
   // Of a whole of 1. `newest_at`: when the view was known to be the newest.
-  double part(Tenths now, Tenths newest_at, std::uint32_t roster) const {
+  double part(TenthsOfMs now, TenthsOfMs newest_at, std::uint32_t roster) const {
     const double given = sharing_.reserve / std::max<std::uint32_t>(1, roster);
     if (held_.empty() || now - newest_at >= sharing_.lease || now - since_ < sharing_.hold) return given;
     double most = 1;
@@ -43,7 +43,7 @@
     return given + (1 - sharing_.reserve) / most;
   }
 
-  void forget_old(Tenths now) {
+  void forget_old(TenthsOfMs now) {
     while (held_.size() > 1 && held_.front().until <= now - sharing_.hold) held_.pop_front();
   }
 
@@ -51,11 +51,11 @@
   struct Held {
     std::uint64_t number;
     double size;
-    Tenths until;
+    TenthsOfMs until;
   };
   Sharing sharing_;
   std::deque<Held> held_;  // the present one last
-  Tenths since_ = 0;       // it has been a member of each view without a gap
+  TenthsOfMs since_ = 0;       // it has been a member of each view without a gap
 };
 
 }  // namespace troutstage::members
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -58,7 +58,7 @@
   if (target.nodes < 0 || target.nodes > 1000000) throw Malformed("nodes is out of range");
   if (target.streams < 0 || target.streams > 1000000) throw Malformed("streams is out of range");
   const Config old = read_config(old_file);
-  if (!old.settings.must_ask && !old.settings.second_copies)
+  if (!old.settings.is_discovery_on_request && !old.settings.may_hedge)
     throw Malformed("it is of the new shape already: its list comes unasked and second copies are barred");
   Json json = Json::parse(old_file);
   Migrated to;
--- a/src/net/counters.cpp
+++ b/src/net/counters.cpp
@@ -10,13 +10,13 @@
 
 namespace troutstage::net {
 
-std::shared_ptr<Answers> AnswersByName::of(const std::string& workload) {
+std::shared_ptr<AnswerCounts> AnswerCountsByWorkload::of(const std::string& workload) {
   std::lock_guard held(lock_);
-  std::shared_ptr<Answers>& found = all_[workload];
-  if (!found) found = std::make_shared<Answers>();
+  std::shared_ptr<AnswerCounts>& found = all_[workload];
+  if (!found) found = std::make_shared<AnswerCounts>();
   return found;
 }
-std::map<std::string, std::shared_ptr<Answers>> AnswersByName::all() const {
+std::map<std::string, std::shared_ptr<AnswerCounts>> AnswerCountsByWorkload::all() const {
   std::lock_guard held(lock_);
   return all_;
 }
@@ -35,15 +35,15 @@
 
 }  // namespace
 
-void Counters::was_held_up(std::chrono::milliseconds span) {
+void Counters::record_stall(std::chrono::milliseconds span) {
   ++held_up;
   const auto ms = static_cast<std::uint64_t>(span.count());
   if (ms > held_up_longest_ms) held_up_longest_ms = ms;
   log::event("held_up", {{"ms", ms}});
 }
-void Counters::list_came() { list_at = steady_ms(); }
+void Counters::record_list() { list_received_at_ms = steady_ms(); }
 std::int64_t Counters::list_age_ms() const {
-  const std::int64_t came = list_at;
+  const std::int64_t came = list_received_at_ms;
   return came < 0 ? -1 : std::max<std::int64_t>(0, steady_ms() - came);
 }
 
@@ -67,20 +67,20 @@
   line("handed_off", sent);
   line("out", sent - over);
   line("written", written.load());
-  for (std::size_t i = 0; i < ended.size(); ++i) line(fmt::format("ended_{}", kEndedNames[i]), ended[i].load());
+  for (std::size_t i = 0; i < ended.size(); ++i) line(fmt::format("ended_{}", kExchangeResultNames[i]), ended[i].load());
   line("connections_taken", connections_taken.load());
   line("accepts_failed", accepts_failed.load());
   line("connections_opened", connections_opened.load());
   line("bad_requests", bad_requests());
   for (std::size_t i = 0; i < bad.size(); ++i)
-    if (bad[i] > 0) line(fmt::format("bad_{}", kBadNames[i]), bad[i].load());
+    if (bad[i] > 0) line(fmt::format("bad_{}", kRequestErrorNames[i]), bad[i].load());
   line("turned_off_full", turned_off_full.load());
   line("turned_off_stopping", turned_off_stopping.load());
   line("answers_unread", answers_unread.load());
   line("answers_cut", answers_cut.load());
   line("bodies_flowed", bodies_flowed.load());
   line("answers_flowed", answers_flowed.load());
-  for (std::size_t i = 0; i < closed.size(); ++i) line(fmt::format("closed_{}", kClosingNames[i]), closed[i].load());
+  for (std::size_t i = 0; i < closed.size(); ++i) line(fmt::format("closed_{}", kCloseReasonNames[i]), closed[i].load());
   line("broke_inside_threads", broke_inside_threads.load());
   line("held_up", held_up.load());
   line("held_up_longest_ms", held_up_longest_ms.load());
--- a/src/net/counters.h
+++ b/src/net/counters.h
@@ -18,25 +18,25 @@
 
 // Final answers of one workload, also of what this node has no place for. They belong to its name: one that a
 // reload takes away and another brings back counts on.
-struct Answers {
+struct AnswerCounts {
   std::atomic<std::uint64_t> succeeded{0}, rejected{0}, given_up{0};
 };
-class AnswersByName {
+class AnswerCountsByWorkload {
  public:
-  std::shared_ptr<Answers> of(const std::string& workload);
-  std::map<std::string, std::shared_ptr<Answers>> all() const;
+  std::shared_ptr<AnswerCounts> of(const std::string& workload);
+  std::map<std::string, std::shared_ptr<AnswerCounts>> all() const;
 
  private:
   mutable std::mutex lock_;
-  std::map<std::string, std::shared_ptr<Answers>> all_;
+  std::map<std::string, std::shared_ptr<AnswerCounts>> all_;
 };
 
 // What a node shows of itself at one moment.
-struct Figures {
-  struct Answered {
+struct NodeMetrics {
+  struct WorkloadAnswers {
     std::uint64_t succeeded = 0, rejected = 0, given_up = 0;
   };
-  std::map<std::string, Answered> by_workload;
+  std::map<std::string, WorkloadAnswers> by_workload;
   std::uint64_t written = 0, open = 0;  // hand-offs whose last byte is out; invocations not ended
   std::size_t listed = 0, avoided = 0;  // backends
   std::uint64_t reloads = 0, reloads_failed = 0;
@@ -49,11 +49,11 @@
   Count succeeded{0}, rejected{0}, given_up{0}, client_gone{0}, broke_inside{0};
   // Every hand-off ends in one of the ways of Ended, or is still out.
   Count handed_off{0}, written{0};  // to a thread; with its last byte to a backend
-  std::array<Count, kEndedNames.size()> ended{};
+  std::array<Count, kExchangeResultNames.size()> ended{};
   Count connections_taken{0}, accepts_failed{0}, connections_opened{0}, turned_off_full{0},
       turned_off_stopping{0}, answers_unread{0}, answers_cut{0}, bodies_flowed{0}, answers_flowed{0};
-  std::array<Count, kBadNames.size()> bad{};  // requests, by what is wrong with them
-  std::array<Count, kClosingNames.size()> closed{};  // clients' connections, by why
+  std::array<Count, kRequestErrorNames.size()> bad{};  // requests, by what is wrong with them
+  std::array<Count, kCloseReasonNames.size()> closed{};  // clients' connections, by why
   Count broke_inside_threads{0};  // the node's own, begun again
   Count held_up{0}, held_up_longest_ms{0};  // times that the process stood still for 50 ms or longer
   Count read_late{0};  // requests that were read, as far as is known, 20 ms or longer after their last byte
@@ -62,14 +62,14 @@
   Count system_times_contradicted{0};  // requests of whose last byte the system said what the looks at its connection exclude
   Count left_at_limit{0};  // clients that left unanswered within 0.1 s of their limit, or later
   Count watches{0}, watches_failed{0}, watches_silent{0};  // begun; ended by anything but an answer; of those, silent
-  std::atomic<std::int64_t> list_at{-1};  // of the steady clock, in ms: when discovery last answered with a list; -1: never
+  std::atomic<std::int64_t> list_received_at_ms{-1};  // of the steady clock, in ms: when discovery last answered with a list; -1: never
   Count reloads{0}, reloads_failed{0};
-  AnswersByName answers;
+  AnswerCountsByWorkload answers;
 
-  void was_held_up(std::chrono::milliseconds span);
-  void list_came();
+  void record_stall(std::chrono::milliseconds span);
+  void record_list();
   std::int64_t list_age_ms() const;  // -1: none has come yet
-  void count(Ended how) { ++ended[static_cast<std::size_t>(how)]; }
+  void count(ExchangeResult how) { ++ended[static_cast<std::size_t>(how)]; }
   std::uint64_t bad_requests() const;
   std::string text() const;  // a line for each: its name and figure
 };
--- a/src/net/ending.h
+++ b/src/net/ending.h
@@ -9,7 +9,7 @@
 
 namespace troutstage::net {
 
-enum class Ended {
+enum class ExchangeResult {
   answered,          // 200 and the whole body
   answered_error,    // any other whole answer
   turned_away,       // an answer that says it was not looked at
@@ -26,29 +26,29 @@
   recalled,          // recalled after that
   withdrawn,         // it may not begin any more: its backend leaves, or what it repeats may have run too long ago
 };
-inline constexpr std::array<std::string_view, 15> kEndedNames = {
+inline constexpr std::array<std::string_view, 15> kExchangeResultNames = {
     "answered",        "answered_error",  "turned_away", "no_room",          "not_connected",
     "cut_before_sent", "cut_after_sent",  "answer_cut",  "answer_malformed", "answer_stalled",
     "timed_out",       "source_broke",    "recalled_unsent", "recalled", "withdrawn"};
 
 // Told as never run is only what is proven so: the last byte was not written, or the backend says it.
-inline Ending outcome(Ended ended) {
+inline Ending classify_result(ExchangeResult ended) {
   switch (ended) {
-    case Ended::answered: return Ending::succeeded;
-    case Ended::answered_error: return Ending::error;
-    case Ended::turned_away: return Ending::turned_away;
-    case Ended::not_connected:
-    case Ended::cut_before_sent: return Ending::unreachable;
-    case Ended::cut_after_sent:
-    case Ended::answer_cut:
-    case Ended::answer_malformed:
-    case Ended::answer_stalled: return Ending::broken;
-    case Ended::timed_out: return Ending::timed_out;
-    case Ended::recalled: return Ending::recalled;
-    case Ended::no_room:
-    case Ended::source_broke:
-    case Ended::recalled_unsent:
-    case Ended::withdrawn: return Ending::never_sent;
+    case ExchangeResult::answered: return Ending::succeeded;
+    case ExchangeResult::answered_error: return Ending::error;
+    case ExchangeResult::turned_away: return Ending::turned_away;
+    case ExchangeResult::not_connected:
+    case ExchangeResult::cut_before_sent: return Ending::unreachable;
+    case ExchangeResult::cut_after_sent:
+    case ExchangeResult::answer_cut:
+    case ExchangeResult::answer_malformed:
+    case ExchangeResult::answer_stalled: return Ending::broken;
+    case ExchangeResult::timed_out: return Ending::timed_out;
+    case ExchangeResult::recalled: return Ending::recalled;
+    case ExchangeResult::no_room:
+    case ExchangeResult::source_broke:
+    case ExchangeResult::recalled_unsent:
+    case ExchangeResult::withdrawn: return Ending::never_sent;
   }
   return Ending::broken;
 }
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -7,170 +7,170 @@
 namespace troutstage::net {
 namespace {
 
-constexpr std::chrono::milliseconds kStall{250};  // a short answer that has begun goes on sooner than this
-constexpr std::size_t kMostHeld = 1 << 20;        // of a long answer before it goes on
-constexpr std::chrono::milliseconds kTellEvery{20};
-constexpr std::size_t kLargestPiece = 8 * 1024;   // that one read brings
+constexpr std::chrono::milliseconds kStallLimit{250};  // a short answer that has begun goes on sooner than this
+constexpr std::size_t kMaxBufferedAnswer = 1 << 20;        // of a long answer before it goes on
+constexpr std::chrono::milliseconds kProgressInterval{20};
+constexpr std::size_t kMaxReadSize = 8 * 1024;   // that one read brings
 
 // A thread that stood still for longer than this looks at its connection again before it writes.
-constexpr std::chrono::milliseconds kLookHolds{1};
+constexpr std::chrono::milliseconds kCheckValidFor{1};
 
 }  // namespace
 
-Ended Exchange::run(const Request& request, const Target& target, Moment until, Flow* flow, const Begins& begins) {
-  const Ended ended = over(request, target, until, flow, begins);
-  if (ended != Ended::answered || rest_.whole()) finish();
-  if (!shutter_.is_shut() || ended == Ended::answered) return ended;
+ExchangeResult Exchange::run(const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins) {
+  const ExchangeResult ended = run_on_connection(request, target, until, flow, begins);
+  if (ended != ExchangeResult::answered || remaining_body_.whole()) release_connection();
+  if (!interrupter_.is_interrupted() || ended == ExchangeResult::answered) return ended;
   // A shutdown looks like a broken connection. Whether the last byte had gone is known all the same.
-  const bool unsent = ended == Ended::not_connected || ended == Ended::cut_before_sent ||
-                      ended == Ended::recalled_unsent || ended == Ended::source_broke || ended == Ended::withdrawn;
-  return unsent ? Ended::recalled_unsent : ended == Ended::no_room ? ended : Ended::recalled;
+  const bool unsent = ended == ExchangeResult::not_connected || ended == ExchangeResult::cut_before_sent ||
+                      ended == ExchangeResult::recalled_unsent || ended == ExchangeResult::source_broke || ended == ExchangeResult::withdrawn;
+  return unsent ? ExchangeResult::recalled_unsent : ended == ExchangeResult::no_room ? ended : ExchangeResult::recalled;
 }
 
-Ended Exchange::over(const Request& request, const Target& target, Moment until, Flow* flow, const Begins& begins) {
+ExchangeResult Exchange::run_on_connection(const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins) {
   target_ = target;
   for (;;) {
-    connection_ = pool_.idle(target.life, number_of(target.address));
+    connection_ = pool_.take_idle(target.instance_id, pack_address(target.address));
     const bool open = connection_.has_value();
-    const Moment looked_at = Moment::clock::now();
+    const TimePoint checked_at = TimePoint::clock::now();
     if (!open) {
-      auto fresh = pool_.fresh();
-      if (!fresh) return Ended::no_room;
+      auto fresh = pool_.open_new();
+      if (!fresh) return ExchangeResult::no_room;
       connection_.emplace(std::move(*fresh));
     }
-    if (const auto ended = talk(open, looked_at, request, target, until, flow, begins)) return *ended;
+    if (const auto ended = send_and_receive(open, checked_at, request, target, until, flow, begins)) return *ended;
   }
 }
 
 // Bytes beyond the answer belong to nothing that was asked for: such a connection is not used again.
-void Exchange::finish() {
-  if (connection_ && in_ && read_ && rest_.whole() && answer_.keep_alive && !shutter_.is_shut()) {
-    const std::uint64_t address = number_of(target_.address);
-    if (in_->holds_bytes()) pool_.spoke_unasked(target_.life, address, {});
-    else pool_.give_back(target_.life, address, std::move(*connection_));
+void Exchange::release_connection() {
+  if (connection_ && reader_ && has_answer_ && remaining_body_.whole() && answer_.keep_alive && !interrupter_.is_interrupted()) {
+    const std::uint64_t address = pack_address(target_.address);
+    if (reader_->has_buffered_bytes()) pool_.record_unsolicited_bytes(target_.instance_id, address, {});
+    else pool_.give_back(target_.instance_id, address, std::move(*connection_));
   }
   connection_.reset();
-  in_.reset();
+  reader_.reset();
 }
 
 // Whether an open connection still has nothing to read, right before a request goes out on it.
-bool Exchange::is_still_quiet(int fd, Moment looked_at) {
-  if (Moment::clock::now() - looked_at < kLookHolds) return true;
-  const Unread unread = look_at(fd);
-  if (unread == Unread::bytes) pool_.spoke_unasked(target_.life, number_of(target_.address), {});
-  return unread == Unread::none;
+bool Exchange::is_still_reusable(int fd, TimePoint checked_at) {
+  if (TimePoint::clock::now() - checked_at < kCheckValidFor) return true;
+  const PeekResult unread = peek_socket(fd);
+  if (unread == PeekResult::bytes) pool_.record_unsolicited_bytes(target_.instance_id, pack_address(target_.address), {});
+  return unread == PeekResult::none;
 }
 
-std::optional<Ended> Exchange::talk(bool open, Moment looked_at, const Request& request, const Target& target, Moment until, Flow* flow, const Begins& begins) {
+std::optional<ExchangeResult> Exchange::send_and_receive(bool open, TimePoint checked_at, const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins) {
   const int fd = connection_->fd();
-  const Shutter::Hold hold(shutter_, fd);
-  if (shutter_.is_shut()) return Ended::recalled_unsent;
+  const SocketInterrupter::Attachment hold(interrupter_, fd);
+  if (interrupter_.is_interrupted()) return ExchangeResult::recalled_unsent;
   if (!open) {
-    const Moment limit = std::min({until, begins.by, Moment::clock::now() + connect_limit_});
-    const Io io = connect_to(fd, target.address, limit);
-    if (io == Io::short_of) return Ended::no_room;
-    if (io != Io::done) return limit == begins.by ? Ended::withdrawn : Ended::not_connected;
+    const TimePoint limit = std::min({until, begins.send_by, TimePoint::clock::now() + connect_timeout_});
+    const IoResult io = connect_to(fd, target.address, limit);
+    if (io == IoResult::resource_shortage) return ExchangeResult::no_room;
+    if (io != IoResult::done) return limit == begins.send_by ? ExchangeResult::withdrawn : ExchangeResult::not_connected;
     ++counters_.connections_opened;
   }
   // Decided on, it may have waited for a thread and a connection for longer than a drain or a window allows.
-  if (!begins.holds()) return Ended::withdrawn;
+  if (!begins.is_met()) return ExchangeResult::withdrawn;
   const auto left =
       flow != nullptr
           ? flow->remaining_ms
-          : std::chrono::duration_cast<std::chrono::milliseconds>(until - Moment::clock::now()).count();
+          : std::chrono::duration_cast<std::chrono::milliseconds>(until - TimePoint::clock::now()).count();
   // Before the last byte is written it has never run, after that it may have: nothing here sends it again.
   const std::string_view kept = request.body;
-  const bool chunks = flow != nullptr && flow->rest->framing() == Framing::chunked;
-  if (left <= 0 || shutter_.is_shut()) return Ended::cut_before_sent;
-  if (open && !is_still_quiet(fd, looked_at)) return std::nullopt;
-  first_byte_ = Moment::clock::now();
-  const Moment written_by = std::min(until, begins.by);
-  if ((chunks ? write_all(fd, request_head(request, left) + body_piece(*flow->rest, kept), written_by)
-              : write_both(fd, request_head(request, left), kept, written_by)) != Io::done)
-    return begins.holds() ? Ended::cut_before_sent : Ended::withdrawn;
-  in_.emplace(fd, kStall);
+  const bool chunks = flow != nullptr && flow->remaining_body->framing() == Framing::chunked;
+  if (left <= 0 || interrupter_.is_interrupted()) return ExchangeResult::cut_before_sent;
+  if (open && !is_still_reusable(fd, checked_at)) return std::nullopt;
+  first_byte_at_ = TimePoint::clock::now();
+  const TimePoint written_by = std::min(until, begins.send_by);
+  if ((chunks ? write_all(fd, format_request_head(request, left) + frame_body_piece(*flow->remaining_body, kept), written_by)
+              : write_head_and_body(fd, format_request_head(request, left), kept, written_by)) != IoResult::done)
+    return begins.is_met() ? ExchangeResult::cut_before_sent : ExchangeResult::withdrawn;
+  reader_.emplace(fd, kStallLimit);
   if (flow != nullptr) {
-    Ended ended = Ended::cut_before_sent;
-    if (!send_rest(fd, *flow, until, begins, ended)) return ended;
-    until = std::min(until, flow->answer_by());
+    ExchangeResult ended = ExchangeResult::cut_before_sent;
+    if (!send_streamed_body(fd, *flow, until, begins, ended)) return ended;
+    until = std::min(until, flow->answer_deadline());
   }
   ++counters_.written;
   return read_answer(until, begins);
 }
 
 // False: it did not go out whole.
-bool Exchange::send_rest(int fd, Flow& flow, Moment until, const Begins& begins, Ended& ended) {
-  for (std::string piece; !flow.rest->whole(); piece.clear()) {
-    flow.begun = true;
-    if (flow.next(piece) != Got::whole) return ended = Ended::source_broke, false;
-    if (flow.rest->whole()) until = std::min(until, flow.answer_by());
+bool Exchange::send_streamed_body(int fd, StreamedBody& flow, TimePoint until, const SendConditions& begins, ExchangeResult& ended) {
+  for (std::string piece; !flow.remaining_body->whole(); piece.clear()) {
+    flow.is_partly_consumed = true;
+    if (flow.next(piece) != ReadResult::whole) return ended = ExchangeResult::source_broke, false;
+    if (flow.remaining_body->whole()) until = std::min(until, flow.answer_deadline());
     // Its client's time is over before the backend has all of it, and so begins it.
-    if (Moment::clock::now() >= until) return ended = Ended::withdrawn, false;
-    if (shutter_.is_shut() || write_all(fd, body_piece(*flow.rest, piece), until) != Io::done) return false;
+    if (TimePoint::clock::now() >= until) return ended = ExchangeResult::withdrawn, false;
+    if (interrupter_.is_interrupted() || write_all(fd, frame_body_piece(*flow.remaining_body, piece), until) != IoResult::done) return false;
     // An answer before all was sent: the backend wants no more of it, and has not begun.
-    if (!flow.rest->whole() && look_at(fd) == Unread::bytes) {
-      if (read_answer(until, begins) == Ended::turned_away) ended = Ended::turned_away;
+    if (!flow.remaining_body->whole() && peek_socket(fd) == PeekResult::bytes) {
+      if (read_answer(until, begins) == ExchangeResult::turned_away) ended = ExchangeResult::turned_away;
       answer_.keep_alive = false;
       return false;
     }
   }
-  flow.sent = Moment::clock::now();
+  flow.sent_at = TimePoint::clock::now();
   return true;
 }
 
 // Kept until it is whole, or for as long as is allowed: what has begun to go on to the client can't be taken back. Whole:
 // it may go on from here.
-Got Exchange::read_long(Moment until, const Begins& begins) {
+ReadResult Exchange::read_long_answer(TimePoint until, const SendConditions& begins) {
   // Cut at the first pause of a quarter of a second, a slow backend's long answer was lost.
-  in_->be_patient();
-  const Moment begun = Moment::clock::now();
-  core::AnswerHold hold(begun, until, answer_.body.size());
-  std::size_t room = kMostBody;
-  Moment told;
-  while (!rest_.whole()) {
-    if (answer_.body.size() + kLargestPiece > room) {
-      if (room >= kMostHeld || !bytes_.take_spare(kMostBody)) return Got::whole;
-      room += kMostBody;
+  reader_->disable_stall_limit();
+  const TimePoint begun = TimePoint::clock::now();
+  core::AnswerBuffering hold(begun, until, answer_.body.size());
+  std::size_t room = kMaxShortAnswerBytes;
+  TimePoint told;
+  while (!remaining_body_.whole()) {
+    if (answer_.body.size() + kMaxReadSize > room) {
+      if (room >= kMaxBufferedAnswer || !bytes_.take_optional(kMaxShortAnswerBytes)) return ReadResult::whole;
+      room += kMaxShortAnswerBytes;
     }
     const std::size_t before = answer_.body.size();
-    const Got got = rest_.next(*in_, hold.next_look(Moment::clock::now()), answer_.body);
-    const Moment now = Moment::clock::now();
-    if (got != Got::whole && got != Got::late) return got;
-    if (got == Got::whole) hold.note(answer_.body.size() - before);
-    if (got == Got::whole && begins.answer_comes && now - told >= kTellEvery) {
+    const ReadResult got = remaining_body_.next(*reader_, hold.next_decision_at(TimePoint::clock::now()), answer_.body);
+    const TimePoint now = TimePoint::clock::now();
+    if (got != ReadResult::whole && got != ReadResult::late) return got;
+    if (got == ReadResult::whole) hold.add_received(answer_.body.size() - before);
+    if (got == ReadResult::whole && begins.answer_progressed && now - told >= kProgressInterval) {
       told = now;
-      begins.answer_comes();
+      begins.answer_progressed();
     }
-    if (rest_.whole()) break;
+    if (remaining_body_.whole()) break;
     const auto verdict = hold.at(now);
-    if (verdict == core::AnswerHold::Verdict::pass_on) return Got::whole;
-    if (verdict == core::AnswerHold::Verdict::give_up) return Got::late;
+    if (verdict == core::AnswerBuffering::Decision::forward) return ReadResult::whole;
+    if (verdict == core::AnswerBuffering::Decision::give_up) return ReadResult::late;
   }
-  return Got::whole;
+  return ReadResult::whole;
 }
 
-Ended Exchange::read_answer(Moment until, const Begins& begins) {
-  const auto how = [](Got got) {
+ExchangeResult Exchange::read_answer(TimePoint until, const SendConditions& begins) {
+  const auto how = [](ReadResult got) {
     switch (got) {
-      case Got::whole: return Ended::answered;
-      case Got::nothing: return Ended::cut_after_sent;
-      case Got::cut: return Ended::answer_cut;
-      case Got::late: return Ended::timed_out;
-      case Got::stalled: return Ended::answer_stalled;
-      case Got::malformed:
-      case Got::too_large: break;
+      case ReadResult::whole: return ExchangeResult::answered;
+      case ReadResult::nothing: return ExchangeResult::cut_after_sent;
+      case ReadResult::cut: return ExchangeResult::answer_cut;
+      case ReadResult::late: return ExchangeResult::timed_out;
+      case ReadResult::stalled: return ExchangeResult::answer_stalled;
+      case ReadResult::malformed:
+      case ReadResult::too_large: break;
     }
-    return Ended::answer_malformed;
+    return ExchangeResult::answer_malformed;
   };
-  Got got = read_answer_head(*in_, until, answer_, rest_, kLongestBody);
-  const bool is_long = answer_.status == 200 && rest_.framing() == Framing::length && rest_.left() > kMostBody;
-  while (got == Got::whole && !rest_.whole() && !is_long && answer_.body.size() <= kMostBody)
-    got = rest_.next(*in_, until, answer_.body);
-  if (got == Got::whole && !rest_.whole() && answer_.status == 200) got = read_long(until, begins);
-  if (got != Got::whole) return how(got);
-  read_ = true;
-  if (answer_.turned_away) return Ended::turned_away;
-  return answer_.status == 200 ? Ended::answered : Ended::answered_error;
+  ReadResult got = read_response_head(*reader_, until, answer_, remaining_body_, kMaxBodyBytes);
+  const bool is_long = answer_.status == 200 && remaining_body_.framing() == Framing::length && remaining_body_.left() > kMaxShortAnswerBytes;
+  while (got == ReadResult::whole && !remaining_body_.whole() && !is_long && answer_.body.size() <= kMaxShortAnswerBytes)
+    got = remaining_body_.next(*reader_, until, answer_.body);
+  if (got == ReadResult::whole && !remaining_body_.whole() && answer_.status == 200) got = read_long_answer(until, begins);
+  if (got != ReadResult::whole) return how(got);
+  has_answer_ = true;
+  if (answer_.turned_away) return ExchangeResult::turned_away;
+  return answer_.status == 200 ? ExchangeResult::answered : ExchangeResult::answered_error;
 }
 
 }  // namespace troutstage::net
--- a/src/net/failures.cpp
+++ b/src/net/failures.cpp
@@ -10,47 +10,47 @@
 namespace troutstage::net {
 namespace {
 
-constexpr std::chrono::milliseconds kLongestPause{10};
-constexpr std::chrono::seconds kBetweenLines{1};
+constexpr std::chrono::milliseconds kMaxPause{10};
+constexpr std::chrono::seconds kLogInterval{1};
 
-std::atomic<std::uint64_t> noted{0};
-std::atomic<Moment::rep> next_line{0};
+std::atomic<std::uint64_t> recorded_shortages{0};
+std::atomic<TimePoint::rep> next_log_time{0};
 
 }  // namespace
 
-Failure classify(int error) {
+ErrorClass classify_errno(int error) {
   switch (error) {
-    case EINTR: return Failure::interrupted;
+    case EINTR: return ErrorClass::interrupted;
     case EAGAIN:
     case EINPROGRESS:
-    case EALREADY: return Failure::not_ready;
+    case EALREADY: return ErrorClass::not_ready;
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-    case ENOSPC: return Failure::shortage;
-    default: return Failure::other;
+    case ENOSPC: return ErrorClass::shortage;
+    default: return ErrorClass::other;
   }
 }
 
 bool Backoff::pause() {
-  const Moment now = Moment::clock::now();
+  const TimePoint now = TimePoint::clock::now();
   if (now >= limit_) return false;
   std::this_thread::sleep_for(std::min<std::chrono::nanoseconds>(next_, limit_ - now));
-  next_ = std::min(next_ * 2, kLongestPause);
+  next_ = std::min(next_ * 2, kMaxPause);
   return true;
 }
 
-void note_shortage(std::string_view call, int error) {
-  const std::uint64_t count = ++noted;
-  const Moment now = Moment::clock::now();
-  Moment::rep due = next_line;
+void record_shortage(std::string_view call, int error) {
+  const std::uint64_t count = ++recorded_shortages;
+  const TimePoint now = TimePoint::clock::now();
+  TimePoint::rep due = next_log_time;
   if (now.time_since_epoch().count() < due) return;
-  if (!next_line.compare_exchange_strong(due, (now + kBetweenLines).time_since_epoch().count())) return;
+  if (!next_log_time.compare_exchange_strong(due, (now + kLogInterval).time_since_epoch().count())) return;
   log::warning("short of something: {}: {} ({} times so far)", call, std::generic_category().message(error),
                count);
 }
 
-std::uint64_t shortages() { return noted; }
+std::uint64_t shortages() { return recorded_shortages; }
 
 }  // namespace troutstage::net
--- a/src/net/failures.h
+++ b/src/net/failures.h
@@ -12,42 +12,42 @@
 
 namespace troutstage::net {
 
-using Moment = std::chrono::steady_clock::time_point;
+using TimePoint = std::chrono::steady_clock::time_point;
 
-enum class Failure {
+enum class ErrorClass {
   interrupted,  // by a signal: call again
   not_ready,    // nothing there yet, or no room: wait for it
   shortage,     // this machine is short of something for a moment: wait a little, make room, call again
   other         // the error stands for itself
 };
-Failure classify(int error);
+ErrorClass classify_errno(int error);
 
 // Pauses between calls that fail for a moment: 1 ms at first, up to 10 ms later.
 class Backoff {
  public:
-  explicit Backoff(Moment limit) : limit_(limit) {}
+  explicit Backoff(TimePoint limit) : limit_(limit) {}
   bool pause();  // false: the limit has come, and there was no pause
 
  private:
-  const Moment limit_;
+  const TimePoint limit_;
   std::chrono::milliseconds next_{1};
 };
 
 // Counts a shortage for the process, and logs it, once a second at most.
-void note_shortage(std::string_view call, int error);
+void record_shortage(std::string_view call, int error);
 std::uint64_t shortages();  // noted since the process began
 
 // Calls that make something that a node can't start without: repeated through a shortage for some seconds.
 // `call` returns whether it succeeded and leaves its error in errno otherwise; what it throws is passed on.
-inline constexpr std::chrono::milliseconds kStartPatience{3000};
+inline constexpr std::chrono::milliseconds kStartRetryTime{3000};
 template <class Call>
-bool persist(std::string_view name, Call call, std::chrono::milliseconds patience = kStartPatience) {
-  Backoff backoff(Moment::clock::now() + patience);
+bool retry_on_shortage(std::string_view name, Call call, std::chrono::milliseconds patience = kStartRetryTime) {
+  Backoff backoff(TimePoint::clock::now() + patience);
   while (!call()) {
     const int error = errno;
-    const Failure failure = classify(error);
-    if (failure == Failure::shortage) note_shortage(name, error);
-    else if (failure != Failure::interrupted) return false;
+    const ErrorClass failure = classify_errno(error);
+    if (failure == ErrorClass::shortage) record_shortage(name, error);
+    else if (failure != ErrorClass::interrupted) return false;
     if (!backoff.pause()) {
       errno = error;
       return false;
--- a/src/net/file_reader.cpp
+++ b/src/net/file_reader.cpp
@@ -10,51 +10,51 @@
 namespace troutstage::net {
 namespace {
 
-constexpr int kMostUnderWay = 8;
+constexpr int kMaxReadsInProgress = 8;
 
 }  // namespace
 
-void FileReader::request(const std::string& path) {
+void FileReader::start_read(const std::string& path) {
   std::uint64_t number = 0;
   bool may_begin = false;
   {
     std::lock_guard held(state_->lock);
-    number = ++state_->requested;
-    may_begin = state_->under_way < kMostUnderWay;
-    ++state_->under_way;
+    number = ++state_->last_requested;
+    may_begin = state_->reads_in_progress < kMaxReadsInProgress;
+    ++state_->reads_in_progress;
   }
-  if (!may_begin) return end(*state_, number, {path, "", "earlier reads of it have not ended"});
+  if (!may_begin) return complete(*state_, number, {path, "", "earlier reads of it have not ended"});
   try {
-    std::thread(read, state_, number, FileRead{path, "", ""}).detach();
+    std::thread(read, state_, number, FileReadResult{path, "", ""}).detach();
   } catch (const std::system_error& failed) {
-    end(*state_, number, {path, "", failed.what()});
+    complete(*state_, number, {path, "", failed.what()});
   }
 }
 
-void FileReader::read(const std::shared_ptr<State>& state, std::uint64_t number, FileRead outcome) {
+void FileReader::read(const std::shared_ptr<SharedState>& state, std::uint64_t number, FileReadResult result) {
   try {
-    outcome.text = read_file(outcome.path);
+    result.text = read_file(result.path);
   } catch (const std::exception& failed) {
-    outcome.error = failed.what();
+    result.error = failed.what();
   }
-  end(*state, number, std::move(outcome));
+  complete(*state, number, std::move(result));
 }
 
-void FileReader::end(State& state, std::uint64_t number, FileRead outcome) {
+void FileReader::complete(SharedState& state, std::uint64_t number, FileReadResult result) {
   std::lock_guard held(state.lock);
-  --state.under_way;
-  if (number < state.newest) return;  // a later one was quicker, and holds
-  state.newest = number;
-  state.outcome = std::move(outcome);
+  --state.reads_in_progress;
+  if (number < state.last_finished) return;  // a later one was quicker, and holds
+  state.last_finished = number;
+  state.result = std::move(result);
   state.changed.notify_all();
 }
 
-std::optional<FileRead> FileReader::next() {
+std::optional<FileReadResult> FileReader::next() {
   std::unique_lock held(state_->lock);
-  state_->changed.wait(held, [this] { return state_->stopped || state_->newest > state_->given; });
+  state_->changed.wait(held, [this] { return state_->stopped || state_->last_finished > state_->last_returned; });
   if (state_->stopped) return std::nullopt;
-  state_->given = state_->newest;
-  return state_->outcome;
+  state_->last_returned = state_->last_finished;
+  return state_->result;
 }
 
 void FileReader::stop() {
--- a/src/net/file_reader.h
+++ b/src/net/file_reader.h
@@ -10,7 +10,7 @@
 
 namespace troutstage::net {
 
-struct FileRead {
+struct FileReadResult {
   std::string path;
   std::string text;
   std::string error;  // why there is no text; empty: it was read whole
@@ -20,25 +20,25 @@
  public:
   // Begins to read the file anew, in a thread of its own, and returns at once. A read that stands still is left alone;
   // where too many do, or no thread is to be had, that is the outcome of this one.
-  void request(const std::string& path);
+  void start_read(const std::string& path);
   // Blocks until the newest read that has ended is newer than the last one given out; nothing once stop() was called.
-  std::optional<FileRead> next();
+  std::optional<FileReadResult> next();
   // Ends next(). Reads under way are left behind.
   void stop();
 
  private:
   // Shared with the reads, which may outlive this.
-  struct State {
+  struct SharedState {
     std::mutex lock;
     std::condition_variable changed;
     bool stopped = false;
-    int under_way = 0;
-    std::uint64_t requested = 0, newest = 0, given = 0;  // numbers of reads, from 1 on
-    FileRead outcome;                                    // of the newest that has ended
+    int reads_in_progress = 0;
+    std::uint64_t last_requested = 0, last_finished = 0, last_returned = 0;  // numbers of reads, from 1 on
+    FileReadResult result;                                    // of the newest that has ended
   };
-  static void read(const std::shared_ptr<State>& state, std::uint64_t number, FileRead outcome);
-  static void end(State& state, std::uint64_t number, FileRead outcome);
-  const std::shared_ptr<State> state_ = std::make_shared<State>();
+  static void read(const std::shared_ptr<SharedState>& state, std::uint64_t number, FileReadResult result);
+  static void complete(SharedState& state, std::uint64_t number, FileReadResult result);
+  const std::shared_ptr<SharedState> state_ = std::make_shared<SharedState>();
 };
 
 }  // namespace troutstage::net
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -30,30 +30,30 @@
 class SteadyClock : public core::Clock {
  public:
   SteadyClock();
-  Tenths now() const override;
-  Moment at(Tenths when) const override;
-  Tenths of(Moment when) const;
-  Tenths wall_offset() const { return wall_offset_; }  // from Unix time, as it was when the node started
+  TenthsOfMs now() const override;
+  TimePoint at(TenthsOfMs when) const override;
+  TenthsOfMs to_ticks(TimePoint when) const;
+  TenthsOfMs wall_offset() const { return wall_offset_; }  // from Unix time, as it was when the node started
 
  private:
-  const Moment start_;
-  Tenths wall_offset_;
+  const TimePoint start_;
+  TenthsOfMs wall_offset_;
 };
 
-using core::Stop;
+using core::ShutdownPlan;
 
 class Node {
  public:
   explicit Node(Config config);  // listens from here on; throws where it can't
   ~Node();
   void start();
-  void stop(const Stop& how);  // ends gracefully: all held is answered
+  void stop(const ShutdownPlan& how);  // ends gracefully: all held is answered
   // Lets its clients go and takes no new ones, but runs on with all that it knows; and takes them again. False:
   // it is stopping.
   bool drain();
   bool activate();
-  bool ready() const { return stage_.ready(); }
-  Figures figures();
+  bool ready() const { return node_state_.is_ready(); }
+  NodeMetrics metrics();
   std::optional<std::string> members() const;  // what is known of the other nodes; nothing where membership is off
   std::string counters_text() const;
   std::shared_ptr<const Settings> settings() const;  // as they hold now
@@ -67,96 +67,96 @@
   const Counters& counters() const { return counters_; }
 
  private:
-  friend class Client;
+  friend class ClientConnection;
   // Stands for a request that a thread reads: one that is slow to come may be ended to make room.
-  class Reading {
+  class ActiveRead {
    public:
-    Reading(Node& node, int fd);
-    ~Reading();
-    Reading(const Reading&) = delete;
-    Reading& operator=(const Reading&) = delete;
-    bool was_ended() const;
+    ActiveRead(Node& node, int fd);
+    ~ActiveRead();
+    ActiveRead(const ActiveRead&) = delete;
+    ActiveRead& operator=(const ActiveRead&) = delete;
+    bool was_aborted() const;
 
    private:
     friend class Node;
     Node& node_;
     const int fd_;
-    const Moment since_ = Moment::clock::now();
-    bool ended_ = false;
+    const TimePoint started_at_ = TimePoint::clock::now();
+    bool is_aborted_ = false;
   };
 
-  std::shared_ptr<const Terms> terms() const;
-  std::shared_ptr<const Terms> settle(Settings fresh, const Names& names, std::shared_ptr<const Settings>& all,
-                                      std::vector<Index>& like);
-  bool lets_go() const {
-    return leaving_ || hands_over_ || stage_.is() == core::Stage::Is::draining;
+  std::shared_ptr<const RequestConfig> request_config() const;
+  std::shared_ptr<const RequestConfig> apply_settings(Settings fresh, const NameIndices& names, std::shared_ptr<const Settings>& all,
+                                      std::vector<Index>& inherits_from);
+  bool closes_connections_after_answer() const {
+    return is_closing_connections_ || is_handing_over_ || node_state_.phase() == core::NodeState::Phase::draining;
   }
-  void let_idle_go();
-  void heed_sibling();
-  void share_with(int nodes);  // counts itself as one of so many from now on
-  void go_by(std::shared_ptr<Settings> now);
-  void reload_as_read();
+  void close_idle_when_draining();
+  void update_process_pair();
+  void set_node_count(int nodes);  // counts itself as one of so many from now on
+  void apply_fleet_settings(std::shared_ptr<Settings> now);
+  void run_reloads();
   void reload_from(const std::string& text, const std::string& path);
-  void keep_configuration(const std::string& path, std::string_view why);
+  void report_reload_failure(const std::string& path, std::string_view why);
   void start_thread(std::string_view what, const std::function<void()>& job);
-  void system_offers_times();  // of a client's connection: they are checked, once
+  void request_system_time_check();  // of a client's connection: they are checked, once
   void check_system_times();
   void accept_all();
-  void await_client();
-  bool accepted(Accepted&& one, bool last);  // false: there is nothing more to accept
+  void wait_for_connection();
+  bool handle_accept(AcceptResult&& one, bool last);  // false: there is nothing more to accept
   void take(Fd fd);
-  core::ArrivalEstimate first_arrival(int fd) const;
-  bool work_for(const std::shared_ptr<Client>& client);  // false: no thread is to be had
-  bool find_place();            // false: there is none
-  bool end_slow_ones(std::chrono::milliseconds slow);  // that have taken so long already; false: there is none
-  bool short_of_connections();  // while it stops
-  void housekeep();
-  void opened(bool has_place);  // a client's connection, and its end
-  void closed(bool had_place);
+  core::ArrivalEstimate initial_arrival_estimate(int fd) const;
+  bool run_client(const std::shared_ptr<ClientConnection>& client);  // false: no thread is to be had
+  bool acquire_budget();            // false: there is none
+  bool abort_slow_reads(std::chrono::milliseconds slow);  // that have taken so long already; false: there is none
+  bool needs_idle_connections();  // while it stops
+  void run_housekeeping();
+  void connection_opened(bool has_place);  // a client's connection, and its end
+  void connection_closed(bool had_place);
 
   Config config_;  // as it was last accepted
-  core::Lanes lanes_;
-  core::Stage stage_;
-  std::unique_ptr<Sibling> sibling_;  // where its listener was passed to it
-  Ledger alone_;
+  core::WorkloadRegistry workload_registry_;
+  core::NodeState node_state_;
+  std::unique_ptr<ProcessPair> process_pair_;  // where its listener was passed to it
+  SharedUsage unpaired_usage_;
   const SteadyClock clock_;
-  const Moment begun_ = Moment::clock::now();
+  const TimePoint started_ = TimePoint::clock::now();
   core::Balancer balancer_;
   Counters counters_;
-  std::shared_ptr<const Terms> terms_;  // guarded by lock_
+  std::shared_ptr<const RequestConfig> request_config_;  // guarded by lock_
   std::shared_ptr<const Settings> settings_;  // with the workloads by number; guarded by lock_
-  Directory directory_;
-  Budget budget_;
-  Bytes bytes_;
-  Transactions transactions_;
-  Pool pool_;
-  Vigil vigil_;
-  std::unique_ptr<Watch> watch_;
+  BackendDirectory directory_;
+  ConnectionBudget budget_;
+  BodyBytesBudget bytes_;
+  OpenTransactions open_transactions_;
+  ConnectionPool pool_;
+  DisconnectMonitor disconnect_monitor_;
+  std::unique_ptr<DiscoveryWatch> watch_;
   FileReader file_reader_;
-  std::unique_ptr<Peers> peers_;  // where membership is on
+  std::unique_ptr<MembershipTransport> peers_;  // where membership is on
   Fd listener_;
 
   mutable std::mutex lock_;
   std::condition_variable changed_;
-  std::set<Reading*> reading_;
-  std::size_t open_ = 0, over_budget_ = 0;  // clients' connections, and those of them that have no place
-  bool stopped_ = false, accept_over_ = true;
-  int nodes_ = 0;         // by the membership; 0: it is off, and the settings tell. Guarded by settling_
-  std::mutex settling_;  // over the settings of the module and how they come about
-  std::atomic<bool> paired_{false};      // another process of this node is there
-  std::atomic<bool> hands_over_{false};  // it stops, and a successor takes what comes
-  std::atomic<bool> leaving_{false};  // it stops, and closes what has been answered
-  std::atomic<Moment> answer_by_{Moment::max()};  // once it stops: its last answers are due then, and what has not been accepted is not any more
-  int accept_shortages_ = 0;          // in a row; the accepting thread's own, as the next two
-  bool may_be_more_ = false;          // to accept: one was, and the queue has not been found empty since
-  core::ArrivalEstimate queue_looks_{begun_};
-  std::atomic<bool> system_times_asked_{false}, trusts_system_times_{false};  // to be checked; they were seen to be true
+  std::set<ActiveRead*> active_reads_;
+  std::size_t open_connections_ = 0, over_budget_ = 0;  // clients' connections, and those of them that have no place
+  bool stopped_ = false, accept_loop_ended_ = true;
+  int node_count_ = 0;         // by the membership; 0: it is off, and the settings tell. Guarded by settling_
+  std::mutex settings_lock_;  // over the settings of the module and how they come about
+  std::atomic<bool> is_paired_{false};      // another process of this node is there
+  std::atomic<bool> is_handing_over_{false};  // it stops, and a successor takes what comes
+  std::atomic<bool> is_closing_connections_{false};  // it stops, and closes what has been answered
+  std::atomic<TimePoint> answer_deadline_{TimePoint::max()};  // once it stops: its last answers are due then, and what has not been accepted is not any more
+  int consecutive_accept_shortages_ = 0;          // in a row; the accepting thread's own, as the next two
+  bool may_have_more_queued_ = false;          // to accept: one was, and the queue has not been found empty since
+  core::ArrivalEstimate accept_queue_estimate_{started_};
+  std::atomic<bool> is_system_time_check_requested_{false}, trusts_system_times_{false};  // to be checked; they were seen to be true
   std::atomic<std::uint64_t> connections_{0};  // clients', numbered for the log
-  Moment drained_since_;              // guarded by lock_
-  std::atomic<std::size_t> came_back_{0};  // clients' connections that were used more than once
-  const std::size_t reserve_;
-  Lobby lobby_;
-  Threads workers_, clients_, inner_;  // the last members: their threads use the others
+  TimePoint drained_since_;              // guarded by lock_
+  std::atomic<std::size_t> reused_connections_{0};  // clients' connections that were used more than once
+  const std::size_t rejection_reserve_;
+  IdleConnections idle_connections_;
+  ThreadPool hand_off_threads_, client_threads_, internal_threads_;  // the last members: their threads use the others
 };
 
 }  // namespace troutstage::net
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -25,9 +25,9 @@
 
 using namespace members;
 
-constexpr int kBatch = 128;  // datagrams that are read before the time is looked at
-constexpr std::chrono::milliseconds kTryAgain{50};
-constexpr Tenths kDay = 24 * 3600 * Tenths{10000};
+constexpr int kReceiveBatch = 128;  // datagrams that are read before the time is looked at
+constexpr std::chrono::milliseconds kBindRetryInterval{50};
+constexpr TenthsOfMs kDay = 24 * 3600 * TenthsOfMs{10000};
 
 std::uint64_t key_of(const sockaddr_in& address) {
   return std::uint64_t{address.sin_addr.s_addr} << 16 | address.sin_port;
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::string PeerCounters::text() const {
+std::string MembershipCounters::text() const {
   std::string out;
   const auto lines = [&](std::string_view prefix, const auto& called, const auto& counts) {
     for (std::size_t i = 0; i < counts.size(); ++i)
@@ -54,17 +54,17 @@
   return out;
 }
 
-Peers::Peers(const Start& start, std::function<void(int)> share) : start_(start), share_(std::move(share)) {
-  take(read(start_.peers));
+MembershipTransport::MembershipTransport(const Options& start, std::function<void(int)> share) : start_(start), on_share_changed_(std::move(share)) {
+  set_addresses(parse_peers(start_.peers));
   const sockaddr_in own = parse_address(start_.listen);
   setup_.node = kNone;
   if (start_.membership.self_by_name) {
     const std::size_t digits = start_.name.find_last_not_of("0123456789") + 1;
     const std::string number = start_.name.substr(digits);
     if (number.empty() || number.size() > 6) throw Malformed("membership.self is \"name\", but the name '" + start_.name + "' ends with no number");
-    setup_.node = static_cast<Index>(whole_number(number, "membership.self"));
+    setup_.node = static_cast<Index>(parse_integer(number, "membership.self"));
   } else if (start_.membership.self >= 0) setup_.node = static_cast<Index>(start_.membership.self);
-  else if (const auto at = places_.find(key_of(own)); at != places_.end()) setup_.node = at->second;
+  else if (const auto at = node_of_address_.find(key_of(own)); at != node_of_address_.end()) setup_.node = at->second;
   if (setup_.node >= addresses_.size())
     throw Malformed("peers do not hold this node: membership.self tells its place among them, from 0 on");
   setup_.roster = static_cast<std::uint32_t>(addresses_.size());
@@ -77,22 +77,22 @@
   setup_.timing = start_.membership.timing;
   setup_.sharing = start_.membership.sharing;
   // A tenth more than the lease, since clocks run at unlike speeds, and what was sent in it counts for the window.
-  setup_.sharing.hold = setup_.sharing.lease * 11 / 10 + start_.window;
+  setup_.sharing.hold = setup_.sharing.lease * 11 / 10 + start_.slow_start_window;
   setup_.life = static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-  if (!start_.successor && !bind_when_free())
+  if (!start_.is_successor && !try_bind())
     throw std::system_error(errno, std::generic_category(), "can't take datagrams on " + start_.listen);
-  shared_ = 0;
-  tell_share();
+  reported_share_ = 0;
+  report_share();
 }
 
-Peers::~Peers() { stop(); }
+MembershipTransport::~MembershipTransport() { stop(); }
 
-Tenths Peers::now() const {
-  return kDay + std::chrono::duration_cast<std::chrono::microseconds>(Moment::clock::now().time_since_epoch()).count() / 100;
+TenthsOfMs MembershipTransport::now() const {
+  return kDay + std::chrono::duration_cast<std::chrono::microseconds>(TimePoint::clock::now().time_since_epoch()).count() / 100;
 }
 
-Peers::Addresses Peers::read(const std::vector<std::string>& peers) const {
+MembershipTransport::Addresses MembershipTransport::parse_peers(const std::vector<std::string>& peers) const {
   if (peers.empty()) throw Malformed("peers is empty");
   if (peers.size() > kMostNodes) throw Malformed(fmt::format("peers are more than {}", kMostNodes));
   Addresses all;
@@ -104,34 +104,34 @@
   return all;
 }
 
-void Peers::take(Addresses addresses) {
+void MembershipTransport::set_addresses(Addresses addresses) {
   addresses_ = std::move(addresses);
-  places_.clear();
-  for (Index n = 0; n < addresses_.size(); ++n) places_[key_of(addresses_[n])] = n;
+  node_of_address_.clear();
+  for (Index n = 0; n < addresses_.size(); ++n) node_of_address_[key_of(addresses_[n])] = n;
 }
 
-void Peers::check(const std::vector<std::string>& peers) const {
-  if (read(peers).size() <= setup_.node) throw Malformed("peers do not hold this node");
+void MembershipTransport::check(const std::vector<std::string>& peers) const {
+  if (parse_peers(peers).size() <= setup_.node) throw Malformed("peers do not hold this node");
 }
 
-void Peers::move(const std::vector<std::string>& peers) {
-  Addresses fresh = read(peers);
+void MembershipTransport::move(const std::vector<std::string>& peers) {
+  Addresses fresh = parse_peers(peers);
   std::lock_guard held(lock_);
-  take(std::move(fresh));
+  set_addresses(std::move(fresh));
   decide(NewRoster{static_cast<std::uint32_t>(addresses_.size())});
 }
 
 // False: another process of this node has it still.
-bool Peers::bind_when_free() {
+bool MembershipTransport::try_bind() {
   const sockaddr_in own = parse_address(start_.listen);
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&own), sizeof own) != 0) return false;
   // What the process before this one left is of the same life; what a killed one left was never there.
-  if (!start_.hand_over.empty()) {
-    std::ifstream in(start_.hand_over, std::ios::binary);
+  if (!start_.hand_over_to_successor.empty()) {
+    std::ifstream in(start_.hand_over_to_successor, std::ios::binary);
     std::stringstream all;
-    if (in && start_.successor && all << in.rdbuf()) setup_.resumed = all.str();
-    ::unlink(start_.hand_over.c_str());
+    if (in && start_.is_successor && all << in.rdbuf()) setup_.resumed = all.str();
+    ::unlink(start_.hand_over_to_successor.c_str());
   }
   std::lock_guard held(lock_);
   engine_ = std::make_unique<Engine>(setup_, now());
@@ -139,22 +139,22 @@
   return true;
 }
 
-void Peers::run() {
-  Moment next = Moment::clock::now();
+void MembershipTransport::run() {
+  TimePoint next = TimePoint::clock::now();
   const auto pulse = std::chrono::microseconds(setup_.timing.pulse * 100);
   while (!stopped_) {
-    if (hands_over_) return hand_it_over();
+    if (is_handing_over_) return write_snapshot_and_close();
     int fd = -1;
     {
       std::lock_guard held(lock_);
       fd = socket_.get();
     }
     if (fd < 0) {
-      std::this_thread::sleep_for(kTryAgain);
-      if (bind_when_free()) log::info("membership goes on in this process");
+      std::this_thread::sleep_for(kBindRetryInterval);
+      if (try_bind()) log::info("membership goes on in this process");
       continue;
     }
-    const Moment at = Moment::clock::now();
+    const TimePoint at = TimePoint::clock::now();
     if (at >= next) {
       next = std::max(next + pulse, at + pulse / 2);
       std::lock_guard held(lock_);
@@ -165,15 +165,15 @@
       if (::poll(&polled, 1, static_cast<int>(wait)) <= 0) continue;
     }
     receive();
-    tell_share();
+    report_share();
   }
-  if (hands_over_) hand_it_over();
+  if (is_handing_over_) write_snapshot_and_close();
 }
 
 // However much comes, time goes on between batches.
-void Peers::receive() {
+void MembershipTransport::receive() {
   char bytes[kMostDatagram + 1];
-  for (int n = 0; n < kBatch; ++n) {
+  for (int n = 0; n < kReceiveBatch; ++n) {
     std::lock_guard held(lock_);
     if (!socket_) return;
     sockaddr_in from{};
@@ -184,8 +184,8 @@
       return;
     }
     const auto drop = [&](Dropped why) { ++counters_.dropped[static_cast<std::size_t>(why)]; };
-    const auto place = places_.find(key_of(from));
-    if (place == places_.end()) { drop(Dropped::unknown_address); continue; }
+    const auto place = node_of_address_.find(key_of(from));
+    if (place == node_of_address_.end()) { drop(Dropped::unknown_address); continue; }
     if (got > static_cast<ssize_t>(kMostDatagram)) { drop(Dropped::too_long); continue; }
     decide(Came{place->second, std::string_view(bytes, static_cast<std::size_t>(got))});
   }
@@ -193,7 +193,7 @@
 
 // The lock is held. Whatever the engine might throw on what came from outside must not end the thread: without it the
 // node would be missed.
-void Peers::decide(const MemberEvent& event) {
+void MembershipTransport::decide(const MemberEvent& event) {
   if (!engine_ || !socket_) return;
   const Output* decided = nullptr;
   try {
@@ -225,7 +225,7 @@
   }
 }
 
-void Peers::tell_share() {
+void MembershipTransport::report_share() {
   int nodes = 0;
   {
     std::lock_guard held(lock_);
@@ -233,32 +233,32 @@
     const double part = engine_ ? engine_->part(now())
                                 : setup_.sharing.reserve / static_cast<double>(std::max<std::size_t>(1, addresses_.size()));
     nodes = part > 1e-6 ? static_cast<int>(std::ceil(1 / part - 1e-9)) : 1000000;
-    if (nodes == shared_) return;
-    shared_ = nodes;
+    if (nodes == reported_share_) return;
+    reported_share_ = nodes;
   }
-  share_(nodes);
+  on_share_changed_(nodes);
 }
 
-void Peers::leave() {
+void MembershipTransport::leave() {
   std::lock_guard held(lock_);
   decide(Leave{});
 }
 
-bool Peers::has_left() const {
+bool MembershipTransport::has_left() const {
   std::lock_guard held(lock_);
   return !engine_ || engine_->status(now()).has_left;
 }
 
-void Peers::hand_it_over() {
+void MembershipTransport::write_snapshot_and_close() {
   std::lock_guard held(lock_);
   if (!engine_) return;
-  const std::string part = start_.hand_over + ".part";
+  const std::string part = start_.hand_over_to_successor + ".part";
   {
     std::ofstream out(part, std::ios::binary);
     out << engine_->snapshot() << std::flush;
     out.close();
     // Half a file in its place would be taken for the whole.
-    if (!out || std::rename(part.c_str(), start_.hand_over.c_str()) != 0) {
+    if (!out || std::rename(part.c_str(), start_.hand_over_to_successor.c_str()) != 0) {
       log::warning("members: can't write '{}', the successor joins anew", part);
       ::unlink(part.c_str());
     }
@@ -266,9 +266,9 @@
   socket_.reset();
 }
 
-void Peers::stop() { stopped_ = true; }
+void MembershipTransport::stop() { stopped_ = true; }
 
-std::string Peers::json() const {
+std::string MembershipTransport::json() const {
   using Json = nlohmann::ordered_json;
   static constexpr std::string_view kStates[] = {"alive", "suspect", "dead", "left"};
   std::lock_guard held(lock_);
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -16,7 +16,7 @@
 
 namespace troutstage::net {
 
-struct PeerCounters {
+struct MembershipCounters {
   using Count = std::atomic<std::uint64_t>;
   std::array<Count, members::kKindNames.size()> sent{}, came{};
   std::array<Count, members::kDroppedNames.size()> dropped{};
@@ -24,54 +24,54 @@
   std::string text() const;  // a line for each: its name and figure
 };
 
-class Peers {
+class MembershipTransport {
  public:
   static constexpr std::size_t kDescriptors = 1;
-  struct Start {
+  struct Options {
     std::string name, zone, listen;
     std::vector<std::string> peers;
     FleetFile::Membership membership;
-    Tenths window = 0;      // in which sends to cold backends count
-    std::string hand_over;  // a file that another process of this node may leave for this one; empty: none
-    bool successor = false;  // the other one holds the address until it has left that file
+    TenthsOfMs slow_start_window = 0;      // in which sends to cold backends count
+    std::string hand_over_to_successor;  // a file that another process of this node may leave for this one; empty: none
+    bool is_successor = false;  // the other one holds the address until it has left that file
   };
   // `share` is told of how many nodes this one is to count itself as one, whenever that changes. Throws Malformed
   // where the settings can't be used, and std::system_error where the address can't.
-  Peers(const Start& start, std::function<void(int)> share);
-  ~Peers();
+  MembershipTransport(const Options& start, std::function<void(int)> share);
+  ~MembershipTransport();
   void run();
   // Reads peers anew; throws Malformed, and keeps what it has, where they can't be used.
   void check(const std::vector<std::string>& peers) const;
   void move(const std::vector<std::string>& peers);
   void leave();           // tells those who decide that it stops
   bool has_left() const;  // they heard it, or there is nobody to hear it
-  void hand_over() { hands_over_ = true; }  // writes what it is to the file for the other process of this node, and lets go of the address
+  void hand_over_to_successor() { is_handing_over_ = true; }  // writes what it is to the file for the other process of this node, and lets go of the address
   void stop();
   std::string json() const;  // what is known of the members
-  const PeerCounters& counters() const { return counters_; }
+  const MembershipCounters& counters() const { return counters_; }
 
  private:
   using Addresses = std::vector<sockaddr_in>;
-  Addresses read(const std::vector<std::string>& peers) const;
-  void take(Addresses addresses);
+  Addresses parse_peers(const std::vector<std::string>& peers) const;
+  void set_addresses(Addresses addresses);
   void decide(const members::MemberEvent& event);
-  bool bind_when_free();
-  void hand_it_over();
+  bool try_bind();
+  void write_snapshot_and_close();
   void receive();
-  void tell_share();
-  Tenths now() const;
+  void report_share();
+  TenthsOfMs now() const;
 
-  const Start start_;
-  const std::function<void(int)> share_;
-  PeerCounters counters_;
+  const Options start_;
+  const std::function<void(int)> on_share_changed_;
+  MembershipCounters counters_;
   mutable std::mutex lock_;  // over all below
   Fd socket_;
   Addresses addresses_;
-  std::unordered_map<std::uint64_t, Index> places_;  // by address and port
+  std::unordered_map<std::uint64_t, Index> node_of_address_;  // by address and port
   std::unique_ptr<members::Engine> engine_;
   members::Setup setup_;
-  std::atomic<bool> stopped_{false}, hands_over_{false};
-  int shared_ = 0;
+  std::atomic<bool> stopped_{false}, is_handing_over_{false};
+  int reported_share_ = 0;
 };
 
 }  // namespace troutstage::net
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -14,7 +14,7 @@
 
 namespace troutstage::net {
 
-class Pool {
+class ConnectionPool {
  public:
   // A connection that counts against the limit for as long as it is there.
   class Connection {
@@ -28,43 +28,43 @@
     int fd() const { return fd_.get(); }
 
    private:
-    friend class Pool;
-    Connection(Pool* pool, Fd fd) : pool_(pool), fd_(std::move(fd)) {}
-    Pool* pool_;
+    friend class ConnectionPool;
+    Connection(ConnectionPool* pool, Fd fd) : pool_(pool), fd_(std::move(fd)) {}
+    ConnectionPool* pool_;
     Fd fd_;
   };
 
-  Pool(Budget& budget, std::chrono::steady_clock::duration idle_limit, const policy::ReuseRules& rules);
+  ConnectionPool(ConnectionBudget& budget, std::chrono::steady_clock::duration idle_limit, const policy::ReuseRules& rules);
 
   // By the life of a backend: what is gone can be found no more, whoever has its address or number now.
-  std::optional<Connection> idle(std::uint64_t life, std::uint64_t address);  // one that is open and quiet
-  std::optional<Connection> fresh();  // a socket not yet connected; nothing where no more may be had
-  void give_back(std::uint64_t life, std::uint64_t address, Connection connection);
+  std::optional<Connection> take_idle(std::uint64_t instance_id, std::uint64_t address);  // one that is open and quiet
+  std::optional<Connection> open_new();  // a socket not yet connected; nothing where no more may be had
+  void give_back(std::uint64_t instance_id, std::uint64_t address, Connection connection);
   // Bytes came from this backend that belong to no request: what else rests there is closed.
-  void spoke_unasked(std::uint64_t life, std::uint64_t address, std::chrono::steady_clock::duration rested);
-  bool shed();  // closes the one that has been idle the longest; false: none is
+  void record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address, std::chrono::steady_clock::duration rested);
+  bool close_oldest_idle();  // closes the one that has been idle the longest; false: none is
   // Closes what has been idle for too long, and looks once at what has rested for as long as it has to.
-  void retire();
-  void retire(std::chrono::steady_clock::duration idle);  // for longer than that
-  std::uint64_t unasked() const { return unasked_; }  // how often a backend was seen to send what nobody asked for
+  void close_expired();
+  void close_expired(std::chrono::steady_clock::duration idle);  // for longer than that
+  std::uint64_t unsolicited_count() const { return unsolicited_count_; }  // how often a backend was seen to send what nobody asked for
 
  private:
-  struct Idle {
+  struct PooledConnection {
     std::uint64_t address;
-    Moment since;
+    TimePoint idle_since;
     Connection connection;
-    bool was_looked_at = false;
+    bool was_checked = false;
   };
-  using ByLife = std::map<std::uint64_t, std::deque<Idle>>;  // the newest last
-  bool is_quiet(std::uint64_t life, const Idle& one);
-  void look_at_rested();
+  using ByInstance = std::map<std::uint64_t, std::deque<PooledConnection>>;  // the newest last
+  bool is_quiet(std::uint64_t instance_id, const PooledConnection& one);
+  void check_rested();
 
   std::mutex lock_;  // never held while a connection is looked at or closed
-  Budget& budget_;
+  ConnectionBudget& budget_;
   const std::chrono::steady_clock::duration idle_limit_;
   policy::ConnectionReuse reuse_;  // guarded by lock_
-  ByLife idle_;                    // the same
-  std::atomic<std::uint64_t> unasked_{0};
+  ByInstance idle_;                    // the same
+  std::atomic<std::uint64_t> unsolicited_count_{0};
 };
 
 }  // namespace troutstage::net
--- a/src/net/shutter.h
+++ b/src/net/shutter.h
@@ -8,37 +8,37 @@
 
 namespace troutstage::net {
 
-class Shutter {
+class SocketInterrupter {
  public:
   // The owner has one while the descriptor may be shut down; it must go before the descriptor is closed.
-  class Hold {
+  class Attachment {
    public:
-    Hold(Shutter& shutter, int fd) : shutter_(shutter) { shutter_.set(fd); }
-    ~Hold() { shutter_.set(-1); }
-    Hold(const Hold&) = delete;
-    Hold& operator=(const Hold&) = delete;
+    Attachment(SocketInterrupter& shutter, int fd) : interrupter_(shutter) { interrupter_.set_fd(fd); }
+    ~Attachment() { interrupter_.set_fd(-1); }
+    Attachment(const Attachment&) = delete;
+    Attachment& operator=(const Attachment&) = delete;
 
    private:
-    Shutter& shutter_;
+    SocketInterrupter& interrupter_;
   };
-  void shut() {
+  void interrupt() {
     std::lock_guard held(lock_);
-    shut_ = true;
+    is_interrupted_ = true;
     if (fd_ >= 0) ::shutdown(fd_, SHUT_RDWR);
   }
-  bool is_shut() const {
+  bool is_interrupted() const {
     std::lock_guard held(lock_);
-    return shut_;
+    return is_interrupted_;
   }
 
  private:
-  void set(int fd) {
+  void set_fd(int fd) {
     std::lock_guard held(lock_);
     fd_ = fd;
   }
   mutable std::mutex lock_;
   int fd_ = -1;
-  bool shut_ = false;
+  bool is_interrupted_ = false;
 };
 
 }  // namespace troutstage::net
--- a/src/net/sibling.h
+++ b/src/net/sibling.h
@@ -11,27 +11,27 @@
 
 namespace troutstage::net {
 
-class Sibling {
+class ProcessPair {
  public:
   // In a folder that both see. Throws where two are running already.
-  Sibling(const std::string& folder, const std::string& node);
-  ~Sibling();
-  Sibling(const Sibling&) = delete;
-  Sibling& operator=(const Sibling&) = delete;
-  bool is_successor() const { return successor_; }  // another was running when it came
-  bool other_lives();
-  Ledger& ledger() { return *ledger_; }
+  ProcessPair(const std::string& folder, const std::string& node);
+  ~ProcessPair();
+  ProcessPair(const ProcessPair&) = delete;
+  ProcessPair& operator=(const ProcessPair&) = delete;
+  bool is_successor() const { return is_successor_; }  // another was running when it came
+  bool is_other_running();
+  SharedUsage& shared_usage() { return *shared_usage_; }
 
  private:
-  enum class Place { free, taken, unknown };
-  bool take(int place);         // false: another process has it; throws where that can't be told
-  Place look(int place) const;  // a look that fails says nothing of the other process
-  Fd file_;
-  void* page_ = nullptr;
-  int place_ = 0;
-  bool successor_ = false;
-  std::atomic<bool> other_lives_{false};  // as it was last known
-  std::unique_ptr<Ledger> ledger_;
+  enum class LockState { free, locked, unknown };
+  bool try_lock_slot(int place);         // false: another process has it; throws where that can't be told
+  LockState slot_lock_state(int place) const;  // a look that fails says nothing of the other process
+  Fd lock_file_;
+  void* shared_page_ = nullptr;
+  int slot_ = 0;
+  bool is_successor_ = false;
+  std::atomic<bool> is_other_running_{false};  // as it was last known
+  std::unique_ptr<SharedUsage> shared_usage_;
 };
 
 }  // namespace troutstage::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -20,61 +20,61 @@
 namespace {
 
 // A call that a signal interrupts is made again at once, so often at the most.
-constexpr int kMostInterruptions = 1000;
-constexpr std::size_t kMostPeeked = 4096;  // bytes that are looked at to check how many the system says are unread
-constexpr std::chrono::milliseconds kSocketPatience{15};     // with a shortage of sockets
-constexpr std::chrono::milliseconds kAddressPatience{1000};  // with an address that is in use
-constexpr std::chrono::milliseconds kRoutePatience{20};      // with a network that can't be reached
+constexpr int kMaxInterruptedCalls = 1000;
+constexpr std::size_t kMaxPeekedBytes = 4096;  // bytes that are looked at to check how many the system says are unread
+constexpr std::chrono::milliseconds kSocketRetryTime{15};     // with a shortage of sockets
+constexpr std::chrono::milliseconds kAddressRetryTime{1000};  // with an address that is in use
+constexpr std::chrono::milliseconds kRouteRetryTime{20};      // with a network that can't be reached
 
 // Waits till `events` are there. The limit is a point in time, so a wait that is interrupted goes on to it.
-Io wait_for(int fd, short events, Moment limit) {
+IoResult wait_for_events(int fd, short events, TimePoint limit) {
   for (Backoff backoff(limit);;) {
-    const auto left = std::chrono::duration_cast<std::chrono::nanoseconds>(limit - Moment::clock::now());
-    if (left.count() <= 0) return Io::late;
+    const auto left = std::chrono::duration_cast<std::chrono::nanoseconds>(limit - TimePoint::clock::now());
+    if (left.count() <= 0) return IoResult::late;
     timespec wait{static_cast<time_t>(left.count() / 1000000000),
                   static_cast<long>(left.count() % 1000000000)};
     pollfd p{fd, events, 0};
     const int n = ::ppoll(&p, 1, &wait, nullptr);
-    if (n > 0) return Io::done;
-    if (n == 0) return Io::late;
-    switch (classify(errno)) {
-      case Failure::interrupted: break;
-      case Failure::not_ready:
-      case Failure::shortage:
-        note_shortage("poll", errno);
+    if (n > 0) return IoResult::done;
+    if (n == 0) return IoResult::late;
+    switch (classify_errno(errno)) {
+      case ErrorClass::interrupted: break;
+      case ErrorClass::not_ready:
+      case ErrorClass::shortage:
+        record_shortage("poll", errno);
         backoff.pause();
         break;
-      case Failure::other: return Io::broken;
+      case ErrorClass::other: return IoResult::broken;
     }
   }
 }
 
 // Before a read or a write that failed is made again. `done`: it may be.
-Io wait_after_failure(std::string_view call, int error, int fd, short events, Moment limit, Backoff& backoff) {
-  switch (classify(error)) {
-    case Failure::interrupted: return Io::done;
-    case Failure::not_ready: return wait_for(fd, events, limit);
-    case Failure::shortage: note_shortage(call, error); return backoff.pause() ? Io::done : Io::late;
-    case Failure::other: break;
+IoResult wait_before_retry(std::string_view call, int error, int fd, short events, TimePoint limit, Backoff& backoff) {
+  switch (classify_errno(error)) {
+    case ErrorClass::interrupted: return IoResult::done;
+    case ErrorClass::not_ready: return wait_for_events(fd, events, limit);
+    case ErrorClass::shortage: record_shortage(call, error); return backoff.pause() ? IoResult::done : IoResult::late;
+    case ErrorClass::other: break;
   }
-  return Io::broken;
+  return IoResult::broken;
 }
 
 // Notes a look that found nothing; until when to wait before the next one.
-Moment note_nothing(core::ArrivalEstimate& arrival, Moment limit) {
-  const Moment now = Moment::clock::now();
-  arrival.found_nothing(now);
-  return std::min(limit, now + core::ArrivalEstimate::kLookEvery);
+TimePoint record_empty_check(core::ArrivalEstimate& arrival, TimePoint limit) {
+  const TimePoint now = TimePoint::clock::now();
+  arrival.found_no_bytes(now);
+  return std::min(limit, now + core::ArrivalEstimate::kCheckInterval);
 }
 
 // Whether more is unread than `told`, which is less than kMostPeeked; also where that can't be found out.
 bool has_more_than(int fd, std::size_t told) {
-  char bytes[kMostPeeked];
+  char bytes[kMaxPeekedBytes];
   const ssize_t n = ::recv(fd, bytes, told + 1, MSG_PEEK | MSG_DONTWAIT);
-  return n < 0 ? classify(errno) != Failure::not_ready : static_cast<std::size_t>(n) > told;
+  return n < 0 ? classify_errno(errno) != ErrorClass::not_ready : static_cast<std::size_t>(n) > told;
 }
 
-const sockaddr* plain(const sockaddr_in& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* as_sockaddr(const sockaddr_in& address) { return reinterpret_cast<const sockaddr*>(&address); }
 
 }  // namespace
 
@@ -89,7 +89,7 @@
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) throw Malformed("no port in address '" + std::string(text) + "'");
   const std::string host(text.substr(0, colon));
-  const std::int64_t port = whole_number(text.substr(colon + 1), "port");
+  const std::int64_t port = parse_integer(text.substr(colon + 1), "port");
   if (::inet_pton(AF_INET, host.c_str(), &a.sin_addr) != 1 || port < 0 || port > 65535)
     throw Malformed("no address: '" + std::string(text) + "'");
   a.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -102,11 +102,11 @@
   return std::string(host) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-std::uint64_t number_of(const sockaddr_in& address) {
+std::uint64_t pack_address(const sockaddr_in& address) {
   return (static_cast<std::uint64_t>(address.sin_addr.s_addr) << 16) | address.sin_port;
 }
 
-sockaddr_in address_of(std::uint64_t number) {
+sockaddr_in unpack_address(std::uint64_t number) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = static_cast<in_addr_t>(number >> 16);
@@ -117,66 +117,66 @@
 namespace {
 
 // What the system held back of an answer is lost where the connection is reset right after it.
-void send_at_once(const Fd& fd) {
+void disable_send_delay(const Fd& fd) {
   const int on = 1;
   const auto set = [&] { return ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on) == 0; };
-  if (fd) persist("setsockopt", set, kSocketPatience);
+  if (fd) retry_on_shortage("setsockopt", set, kSocketRetryTime);
 }
 
 }  // namespace
 
 Fd new_socket() {
   Fd fd;
-  persist(
+  retry_on_shortage(
       "socket", [&] { return static_cast<bool>(fd = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))); },
-      kSocketPatience);
-  send_at_once(fd);
+      kSocketRetryTime);
+  disable_send_delay(fd);
   return fd;
 }
 
-Fd new_event() {
+Fd new_event_fd() {
   Fd fd;
-  if (!persist("eventfd",
+  if (!retry_on_shortage("eventfd",
                [&] { return static_cast<bool>(fd = Fd(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))); }))
     throw std::system_error(errno, std::generic_category(), "can't make an event descriptor");
   return fd;
 }
 
-void wake(const Fd& event) {
+void signal_event(const Fd& event) {
   const std::uint64_t one = 1;
   while (::write(event.get(), &one, sizeof one) < 0 && errno == EINTR) {
   }
 }
 
-void take_note(const Fd& event) {
+void clear_event(const Fd& event) {
   std::uint64_t times = 0;
   while (::read(event.get(), &times, sizeof times) < 0 && errno == EINTR) {
   }
 }
 
-Fd new_monitor() {
+Fd new_epoll_fd() {
   Fd fd;
-  if (!persist("epoll_create1", [&] { return static_cast<bool>(fd = Fd(::epoll_create1(EPOLL_CLOEXEC))); }))
+  if (!retry_on_shortage("epoll_create1", [&] { return static_cast<bool>(fd = Fd(::epoll_create1(EPOLL_CLOEXEC))); }))
     throw std::system_error(errno, std::generic_category(), "can't monitor sockets");
   return fd;
 }
 
-Accepted accept_from(int listener) {
+AcceptResult accept_connection(int listener) {
   Fd fd(::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC));
   if (fd) {
-    send_at_once(fd);
-    return {Accept::taken, std::move(fd), 0};
+    disable_send_delay(fd);
+    return {AcceptOutcome::accepted, std::move(fd), 0};
   }
   const int error = errno;
-  switch (classify(error)) {
-    case Failure::interrupted: return {Accept::again, Fd(), error};
-    case Failure::not_ready: return {Accept::none, Fd(), error};
-    case Failure::shortage: return {Accept::shortage, Fd(), error};
-    case Failure::other: break;
+  switch (classify_errno(error)) {
+    case ErrorClass::interrupted: return {AcceptOutcome::again, Fd(), error};
+    case ErrorClass::not_ready: return {AcceptOutcome::none, Fd(), error};
+    case ErrorClass::shortage: return {AcceptOutcome::shortage, Fd(), error};
+    case ErrorClass::other: break;
   }
   // Errors of the network that one connection came by are passed on by accept(), and say nothing of the next.
   const bool unusable = error == EBADF || error == EINVAL || error == ENOTSOCK || error == EFAULT;
-  return {unusable ? Accept::broken : Accept::again, Fd(), error};
+  return {unusable ? AcceptOutcome::broken : AcceptOutcome::again, Fd(), error};
 }
 
 Fd listen_on(const sockaddr_in& address) {
@@ -185,14 +185,14 @@
     const int on = 1;
     const bool listens =
         fd && ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
-        ::bind(fd.get(), plain(address), sizeof address) == 0 && ::listen(fd.get(), 1024) == 0 &&
+        ::bind(fd.get(), as_sockaddr(address), sizeof address) == 0 && ::listen(fd.get(), 1024) == 0 &&
         ::fcntl(fd.get(), F_SETFL, O_NONBLOCK) == 0;  // another may take what was there to accept
     return listens ? std::move(fd) : Fd();
   };
   Fd fd;
   // A process that was killed a moment ago may still hold it.
-  Backoff until_free(Moment::clock::now() + kAddressPatience);
-  const auto listens = [&] { return persist("listen", [&] { return static_cast<bool>(fd = try_once()); }); };
+  Backoff until_free(TimePoint::clock::now() + kAddressRetryTime);
+  const auto listens = [&] { return retry_on_shortage("listen", [&] { return static_cast<bool>(fd = try_once()); }); };
   while (!listens()) {
     const int error = errno;
     if (error != EADDRINUSE || !until_free.pause())
@@ -220,46 +220,46 @@
 
 namespace {
 
-enum class Dialled { up, under_way, short_of, no_route, unreachable };
+enum class ConnectState { connected, in_progress, resource_shortage, no_route, unreachable };
 
 // One call of connect(). What it lacks here for a moment is no word of the other side.
-Dialled dial(int fd, const sockaddr_in& address) {
-  if (::connect(fd, plain(address), sizeof address) == 0) return Dialled::up;
+ConnectState try_connect(int fd, const sockaddr_in& address) {
+  if (::connect(fd, as_sockaddr(address), sizeof address) == 0) return ConnectState::connected;
   const int error = errno;
-  if (error == EISCONN) return Dialled::up;
+  if (error == EISCONN) return ConnectState::connected;
   // An interrupted one goes on by itself, as one that is under way.
-  if (error == EINPROGRESS || error == EALREADY || error == EINTR) return Dialled::under_way;
-  if (error == EAGAIN || error == EADDRNOTAVAIL || classify(error) == Failure::shortage) {
-    note_shortage("connect", error);
-    return Dialled::short_of;
+  if (error == EINPROGRESS || error == EALREADY || error == EINTR) return ConnectState::in_progress;
+  if (error == EAGAIN || error == EADDRNOTAVAIL || classify_errno(error) == ErrorClass::shortage) {
+    record_shortage("connect", error);
+    return ConnectState::resource_shortage;
   }
-  return error == ENETUNREACH ? Dialled::no_route : Dialled::unreachable;
+  return error == ENETUNREACH ? ConnectState::no_route : ConnectState::unreachable;
 }
 
 // Whether a connection that was under way has come up.
-Io await_connection(int fd, Moment limit) {
-  if (const Io io = wait_for(fd, POLLOUT, limit); io != Io::done) return io;
+IoResult wait_until_connected(int fd, TimePoint limit) {
+  if (const IoResult io = wait_for_events(fd, POLLOUT, limit); io != IoResult::done) return io;
   int error = 0;
   socklen_t size = sizeof error;
-  if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) return Io::broken;
+  if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) return IoResult::broken;
   sockaddr_in peer{};
   size = sizeof peer;
   // A recall's shutdown ends the wait with no error set: it is connected only if there is another side.
-  return ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0 ? Io::done : Io::broken;
+  return ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0 ? IoResult::done : IoResult::broken;
 }
 
-Io dial_until(int fd, const sockaddr_in& address, Moment limit) {
-  Backoff backoff(limit), without_route(std::min(limit, Moment::clock::now() + kRoutePatience));
+IoResult connect_until(int fd, const sockaddr_in& address, TimePoint limit) {
+  Backoff backoff(limit), without_route(std::min(limit, TimePoint::clock::now() + kRouteRetryTime));
   for (;;) {
-    switch (dial(fd, address)) {
-      case Dialled::up: return Io::done;
-      case Dialled::under_way: return await_connection(fd, limit);
-      case Dialled::unreachable: return Io::broken;
-      case Dialled::short_of:
-        if (!backoff.pause()) return Io::short_of;
+    switch (try_connect(fd, address)) {
+      case ConnectState::connected: return IoResult::done;
+      case ConnectState::in_progress: return wait_until_connected(fd, limit);
+      case ConnectState::unreachable: return IoResult::broken;
+      case ConnectState::resource_shortage:
+        if (!backoff.pause()) return IoResult::resource_shortage;
         break;
-      case Dialled::no_route:
-        if (!without_route.pause()) return Io::broken;
+      case ConnectState::no_route:
+        if (!without_route.pause()) return IoResult::broken;
         break;
     }
   }
@@ -267,107 +267,107 @@
 
 }  // namespace
 
-Io connect_to(int fd, const sockaddr_in& address, Moment limit) {
+IoResult connect_to(int fd, const sockaddr_in& address, TimePoint limit) {
   // The socket blocks but for this one call, which the system would let last for minutes.
   const int flags = ::fcntl(fd, F_GETFL);
   ::fcntl(fd, F_SETFL, flags | O_NONBLOCK);
-  const Io io = dial_until(fd, address, limit);
+  const IoResult io = connect_until(fd, address, limit);
   ::fcntl(fd, F_SETFL, flags);
   return io;
 }
 
-Io wait_readable(int fd, Moment limit) { return wait_for(fd, POLLIN, limit); }
+IoResult wait_readable(int fd, TimePoint limit) { return wait_for_events(fd, POLLIN, limit); }
 
-Io read_some(int fd, std::string& into, Moment limit, core::ArrivalEstimate* arrival) {
+IoResult read_some(int fd, std::string& into, TimePoint limit, core::ArrivalEstimate* arrival) {
   char bytes[8192];
   for (Backoff backoff(limit);;) {
     // Looked at first: what is waited for is often there already, and a storm is made of such requests.
     const ssize_t n = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
     if (n > 0) {
-      if (arrival != nullptr) arrival->found_bytes(Moment::clock::now());
+      if (arrival != nullptr) arrival->found_bytes(TimePoint::clock::now());
       into.append(bytes, static_cast<std::size_t>(n));
-      return Io::done;
+      return IoResult::done;
     }
-    if (n == 0) return Io::ended;
+    if (n == 0) return IoResult::ended;
     const int error = errno;
-    const bool is_empty = classify(error) == Failure::not_ready;
-    if (is_empty && arrival != nullptr && !polls_as_empty(fd)) {
+    const bool is_empty = classify_errno(error) == ErrorClass::not_ready;
+    if (is_empty && arrival != nullptr && !polls_unreadable(fd)) {
       // It has come meanwhile, or one of the two calls is wrong: no look.
-      if (!backoff.pause()) return Io::late;
+      if (!backoff.pause()) return IoResult::late;
       continue;
     }
     const bool looks_again = is_empty && arrival != nullptr;
-    const Moment wait_until = looks_again ? note_nothing(*arrival, limit) : limit;
-    const Io io = wait_after_failure("recv", error, fd, POLLIN, wait_until, backoff);
-    if (io == Io::late && wait_until < limit) continue;
-    if (io != Io::done) return io;
+    const TimePoint wait_until = looks_again ? record_empty_check(*arrival, limit) : limit;
+    const IoResult io = wait_before_retry("recv", error, fd, POLLIN, wait_until, backoff);
+    if (io == IoResult::late && wait_until < limit) continue;
+    if (io != IoResult::done) return io;
   }
 }
 
-Io write_all(int fd, std::string_view bytes, Moment limit) {
+IoResult write_all(int fd, std::string_view bytes, TimePoint limit) {
   Backoff backoff(limit);
   while (!bytes.empty()) {
     // Never blocks in the call itself: the other side may have stopped reading.
     const ssize_t n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (n >= 0) bytes.remove_prefix(static_cast<std::size_t>(n));
-    else if (const Io io = wait_after_failure("send", errno, fd, POLLOUT, limit, backoff); io != Io::done) return io;
+    else if (const IoResult io = wait_before_retry("send", errno, fd, POLLOUT, limit, backoff); io != IoResult::done) return io;
   }
-  return Io::done;
+  return IoResult::done;
 }
 
-Io write_both(int fd, std::string head, std::string_view body, Moment limit) {
+IoResult write_head_and_body(int fd, std::string head, std::string_view body, TimePoint limit) {
   constexpr std::size_t kOnePiece = 4096;
   if (body.size() <= kOnePiece) head += std::exchange(body, {});
-  const Io io = write_all(fd, head, limit);
-  return io == Io::done ? write_all(fd, body, limit) : io;
+  const IoResult io = write_all(fd, head, limit);
+  return io == IoResult::done ? write_all(fd, body, limit) : io;
 }
 
-Unread look_at(int fd) {
-  for (int tries = 0; tries < kMostInterruptions; ++tries) {
+PeekResult peek_socket(int fd) {
+  for (int tries = 0; tries < kMaxInterruptedCalls; ++tries) {
     char byte = 0;
     const ssize_t n = ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (n > 0) return Unread::bytes;
-    if (n == 0) return Unread::ended;
+    if (n > 0) return PeekResult::bytes;
+    if (n == 0) return PeekResult::ended;
     const int error = errno;
-    switch (classify(error)) {
-      case Failure::interrupted: break;
-      case Failure::not_ready: return Unread::none;
-      case Failure::shortage: note_shortage("recv", error); return Unread::unknown;
-      case Failure::other: return Unread::broken;
+    switch (classify_errno(error)) {
+      case ErrorClass::interrupted: break;
+      case ErrorClass::not_ready: return PeekResult::none;
+      case ErrorClass::shortage: record_shortage("recv", error); return PeekResult::unknown;
+      case ErrorClass::other: return PeekResult::broken;
     }
   }
-  return Unread::unknown;
+  return PeekResult::unknown;
 }
 
-bool polls_as_empty(int fd) {
+bool polls_unreadable(int fd) {
   pollfd p{fd, POLLIN, 0};
   return ::poll(&p, 1, 0) == 0;
 }
 
-bool polls_as_ready(int fd) {
+bool polls_readable(int fd) {
   pollfd p{fd, POLLIN, 0};
   return ::poll(&p, 1, 0) > 0 && (p.revents & POLLIN) != 0;
 }
 
-bool is_surely_empty(int fd) { return look_at(fd) == Unread::none && polls_as_empty(fd); }
+bool is_open_and_empty(int fd) { return peek_socket(fd) == PeekResult::none && polls_unreadable(fd); }
 
-Io throw_away(int fd, std::size_t& thrown) {
-  for (int tries = 0; tries < kMostInterruptions; ++tries) {
+IoResult discard_unread(int fd, std::size_t& thrown) {
+  for (int tries = 0; tries < kMaxInterruptedCalls; ++tries) {
     // Truncated, the bytes are not even copied: what is sent in bulk costs little.
     const ssize_t n = ::recv(fd, nullptr, 1 << 20, MSG_TRUNC | MSG_DONTWAIT);
     if (n > 0) {
       thrown += static_cast<std::size_t>(n);
-      return Io::done;
+      return IoResult::done;
     }
-    if (n == 0) return Io::ended;
-    const Failure failure = classify(errno);
-    if (failure == Failure::other) return Io::broken;
-    if (failure != Failure::interrupted) break;
+    if (n == 0) return IoResult::ended;
+    const ErrorClass failure = classify_errno(errno);
+    if (failure == ErrorClass::other) return IoResult::broken;
+    if (failure != ErrorClass::interrupted) break;
   }
-  return Io::late;
+  return IoResult::late;
 }
 
-std::optional<std::chrono::milliseconds> since_last_bytes(int fd) {
+std::optional<std::chrono::milliseconds> time_since_last_receive(int fd) {
   tcp_info info{};
   socklen_t size = sizeof info;
   // Where not even the round trip is known, nothing was measured.
@@ -375,41 +375,41 @@
   return std::chrono::milliseconds(info.tcpi_last_data_recv);
 }
 
-std::optional<std::size_t> unread_bytes(int fd) {
+std::optional<std::size_t> unread_byte_count(int fd) {
   int told = 0;
   if (::ioctl(fd, FIONREAD, &told) != 0 || told < 0) return std::nullopt;
   const auto unread = static_cast<std::size_t>(told);
-  return unread < kMostPeeked && has_more_than(fd, unread) ? std::nullopt : std::optional(unread);
+  return unread < kMaxPeekedBytes && has_more_than(fd, unread) ? std::nullopt : std::optional(unread);
 }
 
-bool still_quiet(int fd) { return look_at(fd) == Unread::none; }
+bool is_reusable(int fd) { return peek_socket(fd) == PeekResult::none; }
 
 bool peer_has_closed(int fd) {
-  for (int tries = 0; tries < kMostInterruptions; ++tries) {
+  for (int tries = 0; tries < kMaxInterruptedCalls; ++tries) {
     pollfd p{fd, POLLIN | POLLRDHUP, 0};
     const int n = ::poll(&p, 1, 0);
     if (n == 0) return false;
     if (n > 0 && (p.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return true;
-    if (n > 0 || classify(errno) != Failure::interrupted) break;
+    if (n > 0 || classify_errno(errno) != ErrorClass::interrupted) break;
   }
   // What is there to read may be the close itself, where the system reports no half closes or can't be asked.
-  const Unread unread = look_at(fd);
-  return unread == Unread::ended || unread == Unread::broken;
+  const PeekResult unread = peek_socket(fd);
+  return unread == PeekResult::ended || unread == PeekResult::broken;
 }
 
-bool monitor(int monitor_fd, int fd, std::uint32_t events, std::uint64_t data) {
+bool set_epoll_events(int monitor_fd, int fd, std::uint32_t events, std::uint64_t data) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = data;
   for (int tries = 0; tries < 10; ++tries) {
     if (::epoll_ctl(monitor_fd, EPOLL_CTL_ADD, fd, &event) == 0) return true;
     if (errno == EEXIST && ::epoll_ctl(monitor_fd, EPOLL_CTL_MOD, fd, &event) == 0) return true;
-    note_shortage("epoll_ctl", errno);
+    record_shortage("epoll_ctl", errno);
   }
   return false;
 }
 
-void stop_monitoring(int monitor_fd, int fd) {
+void remove_from_epoll(int monitor_fd, int fd) {
   for (int tries = 0; tries < 10; ++tries)
     if (::epoll_ctl(monitor_fd, EPOLL_CTL_DEL, fd, nullptr) == 0 || errno == ENOENT) return;
 }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -36,8 +36,8 @@
 
 sockaddr_in parse_address(std::string_view text);  // ADDRESS:PORT; throws Malformed
 std::string address_text(const sockaddr_in& address);
-std::uint64_t number_of(const sockaddr_in& address);  // of an address and its port, and back
-sockaddr_in address_of(std::uint64_t number);
+std::uint64_t pack_address(const sockaddr_in& address);  // of an address and its port, and back
+sockaddr_in unpack_address(std::uint64_t number);
 
 // Throws std::system_error. A shortage, and an address that a process which has just ended still holds, are
 // waited for.
@@ -46,57 +46,57 @@
 Fd inherited_listener(int fd, const sockaddr_in& address);
 Fd new_socket();  // with no delay of small writes; empty where there is none to be had, also after some
                   // milliseconds
-Fd new_event();   // an event descriptor for waking a thread; throws std::system_error
-void wake(const Fd& event);  // until it is taken note of, it reads as ready
-void take_note(const Fd& event);
-Fd new_monitor();  // an epoll descriptor; throws std::system_error
+Fd new_event_fd();   // an event descriptor for waking a thread; throws std::system_error
+void signal_event(const Fd& event);  // until it is taken note of, it reads as ready
+void clear_event(const Fd& event);
+Fd new_epoll_fd();  // an epoll descriptor; throws std::system_error
 
-enum class Accept {
-  taken,
+enum class AcceptOutcome {
+  accepted,
   none,      // nothing is there to accept
   again,     // the call was interrupted, or one connection broke before it could be accepted: there may be
              // others
   shortage,  // of descriptors or memory: the connections stay in the queue
   broken     // the listener can't be used
 };
-struct Accepted {
-  Accept what = Accept::none;
+struct AcceptResult {
+  AcceptOutcome what = AcceptOutcome::none;
   Fd fd;          // where it was taken, with no delay of small writes, whoever opened the listener
   int error = 0;  // where it was not
 };
-Accepted accept_from(int listener);
+AcceptResult accept_connection(int listener);
 
 // ended: the other side closes; short_of: this machine had no port, buffer or memory for it until the limit.
-enum class Io { done, ended, broken, late, short_of };
+enum class IoResult { done, ended, broken, late, resource_shortage };
 
-Io connect_to(int fd, const sockaddr_in& address, Moment limit);
-Io wait_readable(int fd, Moment limit);
+IoResult connect_to(int fd, const sockaddr_in& address, TimePoint limit);
+IoResult wait_readable(int fd, TimePoint limit);
 // Appends what there is, once there is something. Each look at the connection is noted in `arrival`, where it is given.
-Io read_some(int fd, std::string& into, Moment limit, core::ArrivalEstimate* arrival = nullptr);
-Io write_all(int fd, std::string_view bytes, Moment limit);
+IoResult read_some(int fd, std::string& into, TimePoint limit, core::ArrivalEstimate* arrival = nullptr);
+IoResult write_all(int fd, std::string_view bytes, TimePoint limit);
 // A large body is not copied behind its head: a full node would hold all of them twice.
-Io write_both(int fd, std::string head, std::string_view body, Moment limit);
+IoResult write_head_and_body(int fd, std::string head, std::string_view body, TimePoint limit);
 // What stands at the head of what nobody has read. A look that fails is no answer.
-enum class Unread { none, bytes, ended, broken, unknown };
-Unread look_at(int fd);
+enum class PeekResult { none, bytes, ended, broken, unknown };
+PeekResult peek_socket(int fd);
 // Whether nothing was there to read, or to accept, when this was called: what one call that found nothing says may be wrong,
 // so a second one is asked. Does not block; false also where that fails.
-bool polls_as_empty(int fd);
-bool polls_as_ready(int fd);   // the opposite, with the same caution: false where the call fails
-bool is_surely_empty(int fd);  // look_at() and polls_as_empty() agree: nothing has come, and it is open
+bool polls_unreadable(int fd);
+bool polls_readable(int fd);   // the opposite, with the same caution: false where the call fails
+bool is_open_and_empty(int fd);  // look_at() and polls_as_empty() agree: nothing has come, and it is open
 // Reads some of that without looking at it; `late`: there was none, and the connection is open.
-Io throw_away(int fd, std::size_t& thrown);
+IoResult discard_unread(int fd, std::size_t& thrown);
 // How long ago the last bytes came, read or not, as the system says; nothing where it does not. What it says may be
 // wrong: see net/system_times.h.
-std::optional<std::chrono::milliseconds> since_last_bytes(int fd);
+std::optional<std::chrono::milliseconds> time_since_last_receive(int fd);
 // How many bytes have come on a connection and are unread; nothing where the system does not tell, or tells of fewer than
 // are seen to be there.
-std::optional<std::size_t> unread_bytes(int fd);
-bool still_quiet(int fd);      // surely open, and nothing has come: a connection that may be used again
+std::optional<std::size_t> unread_byte_count(int fd);
+bool is_reusable(int fd);      // surely open, and nothing has come: a connection that may be used again
 bool peer_has_closed(int fd);  // or reset it; also where what it sent before is unread still
 // Adds a socket to an epoll descriptor, or changes what is waited for on it. False: it is not watched.
-bool monitor(int monitor_fd, int fd, std::uint32_t events, std::uint64_t data);
-void stop_monitoring(int monitor_fd, int fd);
+bool set_epoll_events(int monitor_fd, int fd, std::uint32_t events, std::uint64_t data);
+void remove_from_epoll(int monitor_fd, int fd);
 int port_of(int fd);
 
 }  // namespace troutstage::net
--- a/src/net/system_times.h
+++ b/src/net/system_times.h
@@ -9,7 +9,7 @@
 namespace troutstage::net {
 
 // The system's times are as exact as this; one of its ticks is up to 10 ms long.
-inline constexpr std::chrono::milliseconds kSystemTimesStep{15};
+inline constexpr std::chrono::milliseconds kSystemTimesTolerance{15};
 
 // Checks them on a connection over loopback. Blocks for about 0.1 s, for 1 s at most; false also where that connection can't
 // be made. Throws nothing.
--- a/src/net/terms.h
+++ b/src/net/terms.h
@@ -13,16 +13,16 @@
 namespace troutstage::net {
 
 struct Offer {
-  core::Lanes::Offer lane;
-  Semantics semantics = Semantics::irreversible;
-  std::shared_ptr<Answers> answers;
+  core::WorkloadRegistry::WorkloadHandle workload_handle;
+  Semantics semantics = Semantics::non_idempotent;
+  std::shared_ptr<AnswerCounts> answers;
 };
 
-struct Terms {
+struct RequestConfig {
   std::map<std::string, Offer, std::less<>> workloads;
-  Indices tenants;
-  bool may_recall = false;
-  std::chrono::microseconds connect_limit{0};
+  IndexByName tenants;
+  bool may_cancel = false;
+  std::chrono::microseconds connect_timeout{0};
 };
 
 }  // namespace troutstage::net
--- a/src/net/transactions.h
+++ b/src/net/transactions.h
@@ -9,25 +9,25 @@
 
 namespace troutstage::net {
 
-class Transactions {
+class OpenTransactions {
  public:
   // Keeps an id open for as long as it lives.
-  class Open {
+  class ScopedTransaction {
    public:
-    Open(Transactions& all, std::string_view id) : all_(all), id_(id) {
+    ScopedTransaction(OpenTransactions& all, std::string_view id) : all_(all), id_(id) {
       std::lock_guard held(all_.lock_);
       is_new_ = all_.ids_.insert(id_).second;
     }
-    ~Open() {
+    ~ScopedTransaction() {
       std::lock_guard held(all_.lock_);
       if (is_new_) all_.ids_.erase(id_);
     }
-    Open(const Open&) = delete;
-    Open& operator=(const Open&) = delete;
+    ScopedTransaction(const ScopedTransaction&) = delete;
+    ScopedTransaction& operator=(const ScopedTransaction&) = delete;
     bool is_new() const { return is_new_; }
 
    private:
-    Transactions& all_;
+    OpenTransactions& all_;
     const std::string id_;
     bool is_new_ = false;
   };
--- a/src/net/vigil.h
+++ b/src/net/vigil.h
@@ -9,22 +9,22 @@
 
 namespace troutstage::net {
 
-class Vigil {
+class DisconnectMonitor {
  public:
-  explicit Vigil(core::Balancer& balancer);
+  explicit DisconnectMonitor(core::Balancer& balancer);
   void run();  // until stop()
   void stop();
 
   // Watches a socket for as long as it lives. The socket must stay open meanwhile.
-  class Over {
+  class ScopedMonitor {
    public:
-    Over(Vigil& vigil, int fd, core::Ticket ticket);
-    ~Over();
-    Over(const Over&) = delete;
-    Over& operator=(const Over&) = delete;
+    ScopedMonitor(DisconnectMonitor& vigil, int fd, core::InvocationHandle ticket);
+    ~ScopedMonitor();
+    ScopedMonitor(const ScopedMonitor&) = delete;
+    ScopedMonitor& operator=(const ScopedMonitor&) = delete;
 
    private:
-    Vigil& vigil_;
+    DisconnectMonitor& disconnect_monitor_;
     int fd_;
     std::uint64_t id_;
   };
@@ -33,8 +33,8 @@
   core::Balancer& balancer_;
   Fd poll_, wake_;
   std::mutex lock_;
-  std::uint64_t next_ = 1;
-  std::map<std::uint64_t, core::Ticket> watched_;
+  std::uint64_t next_id_ = 1;
+  std::map<std::uint64_t, core::InvocationHandle> watched_;
 };
 
 }  // namespace troutstage::net
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -11,112 +11,112 @@
 namespace troutstage::net {
 namespace {
 
-constexpr std::chrono::milliseconds kComesUp{1000};  // a connection, and room to write a call
-constexpr std::chrono::milliseconds kGoesOn{2000};   // an answer that has begun
-constexpr std::chrono::milliseconds kTooSoon{100};   // for an answer with no news
-constexpr std::size_t kMostList = 4 * 1024 * 1024;
+constexpr std::chrono::milliseconds kConnectLimit{1000};  // a connection, and room to write a call
+constexpr std::chrono::milliseconds kAnswerLimit{2000};   // an answer that has begun
+constexpr std::chrono::milliseconds kMinPollInterval{100};   // for an answer with no news
+constexpr std::size_t kMaxListBytes = 4 * 1024 * 1024;
 
-std::chrono::microseconds span(Tenths t) { return std::chrono::microseconds(t * 100); }
-Tenths steady(Moment when) {
+std::chrono::microseconds microseconds_of(TenthsOfMs t) { return std::chrono::microseconds(t * 100); }
+TenthsOfMs tenths_of_ms_of(TimePoint when) {
   return std::chrono::duration_cast<std::chrono::microseconds>(when.time_since_epoch()).count() / 100;
 }
 
 }  // namespace
 
-void Watch::run() {
+void DiscoveryWatch::run() {
   // Begun again after a break, it does not wait for an order that it was given before.
-  if (!wanted_ && !balancer_.await_watch()) return;
-  wanted_ = true;
-  follow();
+  if (!was_requested_ && !balancer_.wait_for_discovery_request()) return;
+  was_requested_ = true;
+  poll_until_stopped();
 }
 
 // A watch goes on only while the next call comes within 200 ms of the last answer: the connection is kept and
 // the next call written at once.
-void Watch::follow() {
-  for (;; pause(span(next_.pause))) {
+void DiscoveryWatch::poll_until_stopped() {
+  for (;; pause(microseconds_of(next_.pause))) {
     sockaddr_in discovery;
-    std::shared_ptr<Shutter> shutter;
+    std::shared_ptr<SocketInterrupter> shutter;
     {
       std::lock_guard held(lock_);
       if (stopped_) return;
       discovery = discovery_;
-      shutter = shutter_;
+      shutter = interrupter_;
       // Versions of two places have nothing to do with each other. Only this thread tells lists, so one of
       // the old place that was still on the way can't come after the whole list of the new one.
-      if (std::exchange(moved_, false)) version_ = kWholeList, next_ = pace_.after(steady(Moment::clock::now()), Was::moved);
+      if (std::exchange(has_moved_, false)) version_ = kNoVersion, next_ = schedule_.after(tenths_of_ms_of(TimePoint::clock::now()), PollResult::address_changed);
     }
-    Was was = Was::lost;
+    PollResult was = PollResult::lost;
     ++counters_.watches;
     try {
-      was = calls_on_one_connection(discovery, *shutter);
+      was = poll_on_one_connection(discovery, *shutter);
     } catch (const std::exception& broken) {
       log::warning("discovery: {}", broken.what());
     }
-    const bool ended_between = was == Was::lost && pace_.goes_on();
-    if (!shutter->is_shut() && !ended_between) ++counters_.watches_failed;
-    if (was == Was::silent) ++counters_.watches_silent;
-    next_ = pace_.after(steady(Moment::clock::now()), was);
+    const bool ended_between = was == PollResult::lost && schedule_.is_established();
+    if (!shutter->is_interrupted() && !ended_between) ++counters_.watches_failed;
+    if (was == PollResult::silent) ++counters_.watches_silent;
+    next_ = schedule_.after(tenths_of_ms_of(TimePoint::clock::now()), was);
   }
 }
 
-void Watch::pause(std::chrono::microseconds time) {
+void DiscoveryWatch::pause(std::chrono::microseconds time) {
   std::unique_lock held(lock_);
-  changed_.wait_for(held, time, [this] { return stopped_ || moved_; });
+  changed_.wait_for(held, time, [this] { return stopped_ || has_moved_; });
 }
 
-void Watch::stop() {
+void DiscoveryWatch::stop() {
   std::lock_guard held(lock_);
   stopped_ = true;
   changed_.notify_all();
-  shutter_->shut();
+  interrupter_->interrupt();
 }
 
-void Watch::move(const sockaddr_in& discovery) {
+void DiscoveryWatch::move(const sockaddr_in& discovery) {
   {
     std::lock_guard held(lock_);
     discovery_ = discovery;
-    moved_ = true;
+    has_moved_ = true;
     changed_.notify_all();
-    std::exchange(shutter_, std::make_shared<Shutter>())->shut();
+    std::exchange(interrupter_, std::make_shared<SocketInterrupter>())->interrupt();
   }
-  balancer_.watch_now();
+  balancer_.request_discovery();
 }
 
 // Answered calls are told as they come; what became of the last one.
-Watch::Was Watch::calls_on_one_connection(const sockaddr_in& discovery, Shutter& shutter) {
+DiscoveryWatch::PollResult DiscoveryWatch::poll_on_one_connection(const sockaddr_in& discovery, SocketInterrupter& shutter) {
   const Fd fd = new_socket();
-  if (!fd) return Was::lost;
-  const Shutter::Hold hold(shutter, fd.get());
-  if (shutter.is_shut() || connect_to(fd.get(), discovery, Moment::clock::now() + kComesUp) != Io::done) return Was::lost;
+  if (!fd) return PollResult::lost;
+  const SocketInterrupter::Attachment hold(shutter, fd.get());
+  if (shutter.is_interrupted() || connect_to(fd.get(), discovery, TimePoint::clock::now() + kConnectLimit) != IoResult::done) return PollResult::lost;
   Reader in(fd.get());
   for (;;) {
-    const Moment asked = Moment::clock::now();
-    const bool waits = version_ != kWholeList;
+    const TimePoint asked = TimePoint::clock::now();
+    const bool waits = version_ != kNoVersion;
     const std::string which = waits ? fmt::format("?index={}&wait={}", version_, next_.wait / 10) : "";
     const std::string call =
         fmt::format("GET /discovery/hosts{} HTTP/1.1\r\nHost: {}\r\n\r\n", which, address_text(discovery));
-    if (write_all(fd.get(), call, asked + kComesUp) != Io::done) return Was::lost;
-    if (wait_readable(fd.get(), asked + span((waits ? next_.wait : 0) + next_.patience)) == Io::late) {
-      log::info("discovery: no answer in {} ms", std::chrono::duration_cast<std::chrono::milliseconds>(Moment::clock::now() - asked).count());
-      return Was::silent;
+    if (write_all(fd.get(), call, asked + kConnectLimit) != IoResult::done) return PollResult::lost;
+    if (wait_readable(fd.get(), asked + microseconds_of((waits ? next_.wait : 0) + next_.answer_timeout)) == IoResult::late) {
+      log::info("discovery: no answer in {} ms", std::chrono::duration_cast<std::chrono::milliseconds>(TimePoint::clock::now() - asked).count());
+      return PollResult::silent;
     }
     Response r;
-    const Got got = read_response(in, Moment::clock::now() + kGoesOn, r, kMostList);
-    if (got != Got::whole || r.status != 200) {
-      if (!shutter.is_shut()) log::info("discovery: {}", got == Got::whole ? fmt::format("status {}", r.status) : "no whole answer");
-      return got == Got::whole ? Was::turned_away : got == Got::late ? Was::silent : Was::lost;
+    const ReadResult got = read_response(in, TimePoint::clock::now() + kAnswerLimit, r, kMaxListBytes);
+    if (got != ReadResult::whole || r.status != 200) {
+      if (!shutter.is_interrupted()) log::info("discovery: {}", got == ReadResult::whole ? fmt::format("status {}", r.status) : "no whole answer");
+      return got == ReadResult::whole ? PollResult::turned_away : got == ReadResult::late ? PollResult::silent : PollResult::lost;
     }
-    const Listing list = directory_.read(r.body, balancer_.released());
-    version_ = list.hides ? kWholeList : list.version;
+    const DiscoveryList list = directory_.read(r.body, balancer_.take_released());
+    version_ = list.has_unidentified_entry ? kNoVersion : list.version;
     log::debug("list {} {} with {} entries", list.version, list.full ? "full" : "delta", list.entries.size());
-    counters_.list_came();
+    counters_.record_list();
     const bool news = list.full || !list.entries.empty();
-    balancer_.told(list.full ? ListForm::full : ListForm::delta, list.entries);
+    balancer_.update_backends(list.full ? ListForm::full : ListForm::delta, list.entries);
     if (on_list_) on_list_();
-    next_ = pace_.after(steady(Moment::clock::now()), Was::answered);
+    next_ = schedule_.after(tenths_of_ms_of(TimePoint::clock::now()), PollResult::answered);
     // A service that does not wait would be asked without end.
-    if (!news && Moment::clock::now() - asked < kTooSoon) pause(kTooSoon);
-    if (!r.keep_alive) return Was::lost;
+    if (!news && TimePoint::clock::now() - asked < kMinPollInterval) pause(kMinPollInterval);
+    if (!r.keep_alive) return PollResult::lost;
   }
 }
 
--- a/src/ops/door.cpp
+++ b/src/ops/door.cpp
@@ -17,7 +17,7 @@
 namespace troutstage::ops {
 namespace {
 
-using net::Moment;
+using net::TimePoint;
 
 constexpr std::chrono::seconds kPatience{6};   // with a call that does not become whole
 constexpr std::chrono::seconds kFarewell{1};   // for a caller to read its answer and close
@@ -29,7 +29,7 @@
 std::optional<Reply> reply_to(Operated& node, std::string_view in) {
   const std::size_t end = in.find("\r\n\r\n");
   if (end == in.npos) {
-    if (!in.empty() && !net::may_become_head(in, 0, net::Kind::request)) return Reply{400, "unreadable\n", ""};
+    if (!in.empty() && !net::is_head_prefix(in, 0, net::MessageKind::request)) return Reply{400, "unreadable\n", ""};
     if (in.size() > kMostIn) return Reply{431, "too large\n", ""};
     return std::nullopt;
   }
@@ -50,13 +50,13 @@
 }  // namespace
 
 Reply answer_call(Operated& node, std::string_view method, std::string_view target) {
-  enum class Call { ready, figures, members, drain, activate };
+  enum class Call { ready, metrics, members, drain, activate };
   static constexpr struct {
     std::string_view path;
     Call call;
     bool reads;
   } kCalls[] = {{"/v1/readyz", Call::ready, true},
-                {"/v1/metrics", Call::figures, true},
+                {"/v1/metrics", Call::metrics, true},
                 {"/v1/members", Call::members, true},
                 {"/v1/node/drain", Call::drain, false},
                 {"/v1/node/activate", Call::activate, false}};
@@ -67,7 +67,7 @@
       return {405, "wrong method\n", known.reads ? "Allow: GET\r\n" : "Allow: POST\r\n"};
     switch (known.call) {
       case Call::ready: return node.ready() ? Reply{200, "ready\n", ""} : Reply{503, "not ready\n", ""};
-      case Call::figures: return {200, node.figures(), "Content-Type: application/json\r\n"};
+      case Call::metrics: return {200, node.metrics(), "Content-Type: application/json\r\n"};
       case Call::members: {
         auto told = node.members();
         return told ? Reply{200, std::move(*told), "Content-Type: application/json\r\n"} : Reply{404, "membership is off\n", ""};
@@ -82,14 +82,14 @@
 }
 
 Door::Door(const sockaddr_in& address, Operated& node)
-    : node_(node), listener_(net::listen_on(address)), wake_(net::new_event()) {
-  if (!net::persist("pthread_create", [this] { return thread_.run([this] { run(); }) || (errno = ENOMEM, false); }))
+    : node_(node), listener_(net::listen_on(address)), wake_(net::new_event_fd()) {
+  if (!net::retry_on_shortage("pthread_create", [this] { return thread_.run([this] { run(); }) || (errno = ENOMEM, false); }))
     throw std::system_error(errno, std::generic_category(), "can't serve operators");
   log::info("operators' calls on {}", net::address_text(address));
 }
 
 Door::~Door() {
-  net::wake(wake_);
+  net::signal_event(wake_);
   thread_.finish();
 }
 
@@ -100,12 +100,12 @@
       polled.push_back({c.fd.get(), static_cast<short>(c.written < c.out.size() ? POLLIN | POLLOUT : POLLIN), 0});
     if (::poll(polled.data(), polled.size(), static_cast<int>(kLook.count())) < 0) {
       // What was to be found out is not known: nothing of it is read.
-      if (net::classify(errno) == net::Failure::other) return log::error("operators are served no more: error {}", errno);
+      if (net::classify_errno(errno) == net::ErrorClass::other) return log::error("operators are served no more: error {}", errno);
       if (errno != EINTR) std::this_thread::sleep_for(kShortage);
       continue;
     }
     if (polled[0].revents != 0) return;
-    const Moment now = Moment::clock::now();
+    const TimePoint now = TimePoint::clock::now();
     for (std::size_t i = callers_.size(); i-- > 0;) {
       Caller& c = callers_[i];
       const bool old = now - c.since > (c.answered ? kFarewell : kPatience);
@@ -118,18 +118,18 @@
 
 void Door::accept_some() {
   for (;;) {
-    net::Accepted one = net::accept_from(listener_.get());
-    if (one.what == net::Accept::again) return std::this_thread::sleep_for(kShortage);  // polled again at once
-    if (one.what == net::Accept::shortage) {
-      net::note_shortage("accept", one.error);
+    net::AcceptResult one = net::accept_connection(listener_.get());
+    if (one.what == net::AcceptOutcome::again) return std::this_thread::sleep_for(kShortage);  // polled again at once
+    if (one.what == net::AcceptOutcome::shortage) {
+      net::record_shortage("accept", one.error);
       // Only who has his answer loses nothing by it; else the caller waits in the queue until there is one again.
       if (!make_room(false)) return std::this_thread::sleep_for(kShortage);
       continue;
     }
-    if (one.what != net::Accept::taken) return;
+    if (one.what != net::AcceptOutcome::accepted) return;
     net::Fd fd = std::move(one.fd);
     if (callers_.size() >= kPlaces) make_room(true);
-    callers_.push_back({std::move(fd), Moment::clock::now(), {}, {}, 0, false});
+    callers_.push_back({std::move(fd), TimePoint::clock::now(), {}, {}, 0, false});
     // What is asked is there already as a rule: a caller that waits here need not wait for its turn again.
     if (!serve(callers_.back())) callers_.pop_back();
   }
@@ -150,9 +150,9 @@
     const ssize_t n = ::recv(c.fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
     if (n == 0) return false;
     if (n < 0) {
-      const net::Failure failure = net::classify(errno);
-      if (failure == net::Failure::interrupted) continue;
-      if (failure == net::Failure::other) return false;
+      const net::ErrorClass failure = net::classify_errno(errno);
+      if (failure == net::ErrorClass::interrupted) continue;
+      if (failure == net::ErrorClass::other) return false;
       break;
     }
     if (!c.answered) c.in.append(bytes, static_cast<std::size_t>(n));
@@ -167,9 +167,9 @@
       reply = Reply{500, "broke inside\n", ""};
     }
     if (!reply) return true;
-    c.out = net::response_head(reply->status, "", reply->body.size(), false, reply->more_headers) + reply->body;
+    c.out = net::format_response_head(reply->status, "", reply->body.size(), false, reply->more_headers) + reply->body;
     c.answered = true;
-    c.since = Moment::clock::now();
+    c.since = TimePoint::clock::now();
     c.in = {};
   }
   return write(c);
@@ -179,7 +179,7 @@
   while (c.written < c.out.size()) {
     const ssize_t n = ::send(c.fd.get(), c.out.data() + c.written, c.out.size() - c.written,
                              MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (n < 0) return net::classify(errno) != net::Failure::other;  // written on once polled again
+    if (n < 0) return net::classify_errno(errno) != net::ErrorClass::other;  // written on once polled again
     c.written += static_cast<std::size_t>(n);
     // Closed over unread input, the connection would be reset and the answer lost with it.
     if (c.written == c.out.size()) ::shutdown(c.fd.get(), SHUT_WR);
--- a/src/ops/door.h
+++ b/src/ops/door.h
@@ -20,7 +20,7 @@
   virtual bool ready() = 0;
   virtual bool drain() = 0;  // false: it can't any more
   virtual bool activate() = 0;
-  virtual std::string figures() = 0;
+  virtual std::string metrics() = 0;
   virtual std::optional<std::string> members() { return std::nullopt; }  // nothing: nodes don't know of one another
 };
 
@@ -42,7 +42,7 @@
  private:
   struct Caller {
     net::Fd fd;
-    net::Moment since;
+    net::TimePoint since;
     std::string in, out;
     std::size_t written = 0;
     bool answered = false;  // what still comes is thrown away until it closes
@@ -56,7 +56,7 @@
   Operated& node_;
   net::Fd listener_, wake_;
   std::vector<Caller> callers_;  // the oldest first; the thread's own
-  net::Threads thread_{1};       // the last member: it uses the others
+  net::ThreadPool thread_{1};       // the last member: it uses the others
 };
 
 }  // namespace troutstage::ops
--- a/src/ops/figures.cpp
+++ b/src/ops/figures.cpp
@@ -4,10 +4,10 @@
 
 namespace troutstage::ops {
 
-std::string figures_text(const net::Figures& figures) {
+std::string figures_text(const net::NodeMetrics& metrics) {
   using Json = nlohmann::ordered_json;
   Json fulfilled = Json::object(), throttled = Json::object(), faulted = Json::object();
-  for (const auto& [name, answers] : figures.by_workload) {
+  for (const auto& [name, answers] : metrics.by_workload) {
     fulfilled[name] = answers.succeeded;
     throttled[name] = answers.rejected;
     faulted[name] = answers.given_up;
@@ -15,12 +15,12 @@
   return Json{{"fulfilled", fulfilled},
               {"throttled", throttled},
               {"faulted", faulted},
-              {"relayed", figures.written},
-              {"open_requests", figures.open},
-              {"registry_entries", figures.listed},
-              {"out_of_rotation", figures.avoided},
-              {"cfg_accepted", figures.reloads},
-              {"cfg_invalid", figures.reloads_failed}}
+              {"relayed", metrics.written},
+              {"open_requests", metrics.open},
+              {"registry_entries", metrics.listed},
+              {"out_of_rotation", metrics.avoided},
+              {"cfg_accepted", metrics.reloads},
+              {"cfg_invalid", metrics.reloads_failed}}
              .dump() +
          "\n";
 }
--- a/src/ops/figures.h
+++ b/src/ops/figures.h
@@ -7,6 +7,6 @@
 
 namespace troutstage::ops {
 
-std::string figures_text(const net::Figures& figures);  // JSON
+std::string figures_text(const net::NodeMetrics& metrics);  // JSON
 
 }  // namespace troutstage::ops
--- a/src/policy/answer_odds.h
+++ b/src/policy/answer_odds.h
@@ -12,27 +12,27 @@
 
 namespace troutstage::policy {
 
-class AnswerOdds {
+class AnswerProbability {
  public:
-  void answered(Tenths now, Tenths took);
-  void unanswered(Tenths now, Tenths waited);  // it was waited for to its end
+  void answered(TenthsOfMs now, TenthsOfMs elapsed);
+  void unanswered(TenthsOfMs now, TenthsOfMs waited);  // it was waited for to its end
   // Whether an attempt that is `age` old is likely to be answered within `more`. Where nothing is known it is
   // not.
-  bool likely(Tenths now, Tenths age, Tenths more);
+  bool is_likely(TenthsOfMs now, TenthsOfMs age, TenthsOfMs more);
   // The share of invocations that are waited for though no answer is likely: without them nothing would be
   // learned of answers that take nearly as long as their clients wait.
-  static constexpr int kOneOf = 16;
-  bool is_probe() { return ++unlikely_ % kOneOf == 0; }
+  static constexpr int kSampleInterval = 16;
+  bool is_sampled() { return ++unlikely_count_ % kSampleInterval == 0; }
 
  private:
   static constexpr std::size_t kBinsPerOctave = 4, kBins = 56;  // from 1 ms to 16 s
   using Histogram = std::array<float, kBins>;                   // by how long it took
-  static std::size_t bin_of(Tenths time);
-  void fade(Tenths now);
+  static std::size_t bin_of(TenthsOfMs time);
+  void decay(TenthsOfMs now);
 
   Histogram answered_{}, unanswered_{};
-  Tenths faded_at_ = 0;
-  int unlikely_ = 0;
+  TenthsOfMs decayed_at_ = 0;
+  int unlikely_count_ = 0;
 };
 
 }  // namespace troutstage::policy
--- a/src/policy/connection_reuse.cpp
+++ b/src/policy/connection_reuse.cpp
@@ -2,36 +2,36 @@
 
 namespace troutstage::policy {
 
-void ConnectionReuse::was_quiet(Life backend, Span rested, Moment now) {
-  if (rested < rest_that_proves(backend)) return;
+void ConnectionReuse::record_quiet(BackendInstanceId backend, Span rested, TimePoint now) {
+  if (rested < proving_cooldown(backend)) return;
   Record& record = records_[backend];
-  record.noted = now;
+  record.updated_at = now;
   if (record.proofs < rules_.proofs) ++record.proofs;
 }
 
-void ConnectionReuse::spoke_unasked(Life backend, Moment now) {
-  records_[backend] = {0, true, now + rules_.distrust, now};
+void ConnectionReuse::record_unsolicited_bytes(BackendInstanceId backend, TimePoint now) {
+  records_[backend] = {0, true, now + rules_.distrust_period, now};
 }
 
-void ConnectionReuse::forget_before(Moment limit) {
-  std::erase_if(records_, [limit](const auto& one) { return one.second.noted < limit; });
+void ConnectionReuse::forget_before(TimePoint limit) {
+  std::erase_if(records_, [limit](const auto& one) { return one.second.updated_at < limit; });
 }
 
-bool ConnectionReuse::is_kept(Life backend, Moment now) const {
+bool ConnectionReuse::may_keep_connections(BackendInstanceId backend, TimePoint now) const {
   const auto record = records_.find(backend);
   return record == records_.end() || now >= record->second.distrusted_until;
 }
 
-ConnectionReuse::Span ConnectionReuse::rest(Life backend) const {
+ConnectionReuse::Span ConnectionReuse::cooldown(BackendInstanceId backend) const {
   const auto record = records_.find(backend);
   const bool is_proven = record != records_.end() && record->second.proofs >= rules_.proofs;
-  return is_proven ? rules_.rest : rest_that_proves(backend);
+  return is_proven ? rules_.cooldown : proving_cooldown(backend);
 }
 
-ConnectionReuse::Span ConnectionReuse::rest_that_proves(Life backend) const {
+ConnectionReuse::Span ConnectionReuse::proving_cooldown(BackendInstanceId backend) const {
   const auto record = records_.find(backend);
   const bool was_distrusted = record != records_.end() && record->second.was_distrusted;
-  return was_distrusted ? rules_.long_rest : rules_.first_rest;
+  return was_distrusted ? rules_.distrusted_cooldown : rules_.unproven_cooldown;
 }
 
 }  // namespace troutstage::policy
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -15,7 +15,7 @@
 Fields split(std::string_view line);
 
 // The settings of a CONFIGURE line, and the names that later lines use.
-Settings read_configure(const Fields& fields, Names& names);
+Settings read_configure(const Fields& fields, NameIndices& names);
 
 // Small indices for one instance's ids, both ways.
 class Ids {
@@ -28,13 +28,13 @@
   const std::string& handle(Index i) const { return handles_.id(i); }
 
  private:
-  Numbers backends_, handles_;
+  IndexPool backends_, handles_;
 };
 
 // Reads one event of an instance. Nothing comes back for an id that is no longer held or a message that asks
 // for no decision. `rows` are the ROW lines below a MEMBERSHIP line.
 std::optional<Event> read_event(const Fields& fields, const std::vector<std::string>& rows, Ids& ids,
-                                Names& names);
+                                NameIndices& names);
 int rows_below(const Fields& fields);
 
 void write_action(std::string& out, std::string_view node, const Action& action, const Ids& ids);
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -12,7 +12,7 @@
 
 // One instance of the decisions with its own ids: nothing is shared between two of them.
 struct Instance {
-  Names names;
+  NameIndices names;
   wire::Ids ids;
   Decider decider;
 };
@@ -30,8 +30,8 @@
     if (!next_line()) return false;
     wire::Fields tick = wire::split(line_);
     if (tick.size() != 3 || tick[0] != "TICK") throw Malformed("TICK with 2 fields expected");
-    now_ = whole_number(tick[1], "clock") / 100;
-    batch_ = whole_number(tick[2], "batch number");
+    now_ = parse_integer(tick[1], "clock") / 100;
+    batch_ = parse_integer(tick[2], "batch number");
     reply_.clear();
     while (need_line(), line_ != "END") event();
     reply_ += "ACK\t" + std::to_string(batch_) + "\n";
@@ -56,7 +56,7 @@
     const std::string node(fields[1]);
     if (fields[0] == "CONFIGURE") {
       if (fields.size() < 3) throw Malformed("CONFIGURE lacks its seed");
-      Names names;
+      NameIndices names;
       Settings settings = wire::read_configure(fields, names);
       instances_.erase(node);
       guarded(node, [&] {
@@ -107,7 +107,7 @@
   std::map<std::string, Instance> instances_;
   std::string line_, reply_;
   std::int64_t batch_ = 0, line_number_ = 0;
-  Tenths now_ = 0;
+  TenthsOfMs now_ = 0;
 };
 
 }  // namespace
--- a/tests/bulk_test.cpp
+++ b/tests/bulk_test.cpp
@@ -17,7 +17,7 @@
 void send_in_pieces(int fd, std::string_view bytes, std::size_t most) {
   for (std::size_t i = 1; !bytes.empty(); ++i) {
     const std::string_view piece = bytes.substr(0, 1 + i * 7919 % most);
-    if (write_all(fd, piece, soon()) != Io::done) return;
+    if (write_all(fd, piece, soon()) != IoResult::done) return;
     bytes.remove_prefix(piece.size());
   }
 }
@@ -48,9 +48,9 @@
   Reader in{fd.get()};
   Response r;
   explicit Reached(const Node& node) {
-    REQUIRE(connect_to(fd.get(), parse_address("127.0.0.1:" + std::to_string(node.port())), soon()) == Io::done);
+    REQUIRE(connect_to(fd.get(), parse_address("127.0.0.1:" + std::to_string(node.port())), soon()) == IoResult::done);
   }
-  Got receive() { return read_response(in, soon(), r, kLongestBody); }
+  ReadResult receive() { return read_response(in, soon(), r, kMaxBodyBytes); }
 };
 
 const std::string kOrder = "POST /order HTTP/1.1\r\nX-Txn: t\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k\r\n";
@@ -58,24 +58,24 @@
 }  // namespace
 
 TEST_CASE("an answer of 32 MB reaches its client whole in each framing, as fast as that reads", "[bulk]") {
-  const std::string body = pattern(kLongestBody);
+  const std::string body = pattern(kMaxBodyBytes);
   const int framing = GENERATE(0, 1, 2);
   std::atomic<std::size_t> sent{0};
   Flag stuck;
   Server backend([&](const Server::Call& call) {
     const std::string all =
-        framing == 0   ? response_head(200, "text/plain", body.size(), true) + body
+        framing == 0   ? format_response_head(200, "text/plain", body.size(), true) + body
         : framing == 1 ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + in_chunks(body, 100000)
                        : "HTTP/1.1 200 OK\r\n\r\n" + body;
     bool told = false;
     for (std::string_view left = all; !left.empty();) {
       const std::string_view piece = left.substr(0, 4096);
       // Blocked for so long: it is the client that does not read.
-      if (!told && write_all(call.fd, "", soon()) == Io::done) {
+      if (!told && write_all(call.fd, "", soon()) == IoResult::done) {
         pollfd p{call.fd, POLLOUT, 0};
         if (::poll(&p, 1, 400) == 0) told = true, stuck.set();
       }
-      if (write_all(call.fd, piece, soon()) != Io::done) break;
+      if (write_all(call.fd, piece, soon()) != IoResult::done) break;
       left.remove_prefix(piece.size());
       sent += piece.size();
     }
@@ -83,23 +83,23 @@
   });
   Fleet fleet({backend.address()});
   Reached client(fleet.node);
-  REQUIRE(write_all(client.fd.get(), request("view", "", 20000), soon()) == Io::done);
+  REQUIRE(write_all(client.fd.get(), request("view", "", 20000), soon()) == IoResult::done);
   stuck.await();
   CHECK(sent < body.size() - (4U << 20));  // what is not read is not taken in either
-  REQUIRE(client.receive() == Got::whole);
+  REQUIRE(client.receive() == ReadResult::whole);
   CHECK(client.r.status == 200);
   CHECK((client.r.body == body));
   CHECK(fleet.node.counters().answers_flowed == 1);
   client.fd.reset();
   fleet.node.stop({});
-  CHECK(fleet.node.figures().by_workload.at("view").succeeded == 1);
+  CHECK(fleet.node.metrics().by_workload.at("view").succeeded == 1);
 }
 
 TEST_CASE("a backend that pauses in a long answer is waited for", "[bulk]") {
   const std::string body = pattern(200000);
   Flag half_there;
   Server backend([&](const Server::Call& call) {
-    write_all(call.fd, response_head(200, "", body.size(), true) + body.substr(0, 100000), soon());
+    write_all(call.fd, format_response_head(200, "", body.size(), true) + body.substr(0, 100000), soon());
     half_there.await();
     pollfd quiet{call.fd, POLLIN, 0};
     ::poll(&quiet, 1, 400);  // the pause is the fault; what is checked is the whole answer
@@ -108,12 +108,12 @@
   });
   Fleet fleet({backend.address()});
   Reached client(fleet.node);
-  REQUIRE(write_all(client.fd.get(), request("view", "", 20000), soon()) == Io::done);
-  Body rest;
-  REQUIRE(read_answer_head(client.in, soon(), client.r, rest, kLongestBody) == Got::whole);
-  while (client.r.body.size() < 100000) REQUIRE(rest.next(client.in, soon(), client.r.body) == Got::whole);
+  REQUIRE(write_all(client.fd.get(), request("view", "", 20000), soon()) == IoResult::done);
+  Body remaining_body;
+  REQUIRE(read_response_head(client.in, soon(), client.r, remaining_body, kMaxBodyBytes) == ReadResult::whole);
+  while (client.r.body.size() < 100000) REQUIRE(remaining_body.next(client.in, soon(), client.r.body) == ReadResult::whole);
   half_there.set();
-  while (!rest.whole()) REQUIRE(rest.next(client.in, soon(), client.r.body) == Got::whole);
+  while (!remaining_body.whole()) REQUIRE(remaining_body.next(client.in, soon(), client.r.body) == ReadResult::whole);
   CHECK((client.r.body == body));
 }
 
@@ -129,12 +129,12 @@
   });
   Fleet fleet({backend.address()});
   Reached client(fleet.node);
-  REQUIRE(write_all(client.fd.get(), replaced(request("view"), "HTTP/1.1", "HTTP/" + version), soon()) == Io::done);
-  CHECK(client.receive() != Got::whole);
+  REQUIRE(write_all(client.fd.get(), replaced(request("view"), "HTTP/1.1", "HTTP/" + version), soon()) == IoResult::done);
+  CHECK(client.receive() != ReadResult::whole);
   client.fd.reset();
   fleet.node.stop({});
   CHECK(fleet.node.counters().answers_cut == 1);
-  CHECK(fleet.node.figures().by_workload.at("view").given_up == 1);
+  CHECK(fleet.node.metrics().by_workload.at("view").given_up == 1);
 }
 
 TEST_CASE("a body of any size and framing reaches its backend unchanged, in pieces cut anywhere", "[bulk]") {
@@ -151,13 +151,13 @@
       chunked ? kOrder + "Transfer-Encoding: Chunked\r\n\r\n" + in_chunks(body, 30000)
               : kOrder + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   std::thread sends([&] { send_in_pieces(client.fd.get(), framed, 50000); });
-  const Got read = client.receive();
+  const ReadResult read = client.receive();
   sends.join();
-  REQUIRE(read == Got::whole);
+  REQUIRE(read == ReadResult::whole);
   CHECK(client.r.status == 200);
   CHECK((got == body));
   CHECK(backend.calls() == 1);
-  CHECK(fleet.node.counters().bodies_flowed == (body.size() > kMostKept ? 1 : 0));
+  CHECK(fleet.node.counters().bodies_flowed == (body.size() > kMaxBufferedRequestBytes ? 1 : 0));
 }
 
 TEST_CASE("a body that stops on its way ends its hand-off, which has never run", "[bulk]") {
@@ -165,14 +165,14 @@
   Fleet fleet({backend.address()});
   Reached client(fleet.node);
   const std::string half = kOrder + "Content-Length: 2000000\r\n\r\n" + pattern(1000000);
-  REQUIRE(write_all(client.fd.get(), half, soon()) == Io::done);
+  REQUIRE(write_all(client.fd.get(), half, soon()) == IoResult::done);
   ::shutdown(client.fd.get(), SHUT_WR);
   client.receive();
   client.fd.reset();
   fleet.node.stop({});
   CHECK(backend.calls() == 0);
   CHECK(fleet.node.counters().written == 0);
-  CHECK(fleet.node.figures().by_workload.at("order").succeeded == 0);
+  CHECK(fleet.node.metrics().by_workload.at("order").succeeded == 0);
 }
 
 TEST_CASE("messages are read alike wherever they are cut", "[bulk]") {
@@ -190,12 +190,12 @@
   });
   Reader in(here.get());
   BadRequest bad;
-  auto r = read_request(in, soon(), bad);
+  auto r = read_request_head(in, soon(), bad);
   const bool read = r && read_body(in, *r, bad, [] { return soon(); }, [](std::size_t) { return true; });
   sends.join();
   REQUIRE(read);
   CHECK(r->body == expected);
   CHECK(r->workload == "order");
   CHECK(r->target == "/order");
-  CHECK_FALSE(in.holds_bytes());
+  CHECK_FALSE(in.has_buffered_bytes());
 }
