--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -15,41 +15,41 @@
 
 namespace {
 
-constexpr Tenths kMs = 10;
+constexpr TenthsOfMs kMs = 10;
 
 struct HandClock : Clock {
-  std::atomic<Tenths> time{1000000};
-  Tenths now() const override { return time; }
-  std::chrono::steady_clock::time_point at(Tenths) const override { return std::chrono::steady_clock::now(); }
+  std::atomic<TenthsOfMs> time{1000000};
+  TenthsOfMs now() const override { return time; }
+  std::chrono::steady_clock::time_point at(TenthsOfMs) const override { return std::chrono::steady_clock::now(); }
 };
 
 struct Facade {
   HandClock clock;
   Balancer balancer;
-  explicit Facade(Semantics semantics = Semantics::redoable, int backends = 3, Tenths pause_allowance = 0)
+  explicit Facade(Semantics semantics = Semantics::idempotent, int backends = 3, TenthsOfMs pause_allowance = 0)
       : balancer(settings(semantics, pause_allowance), clock) {
     std::vector<ListEntry> list(static_cast<std::size_t>(backends));
     for (std::size_t i = 0; i < list.size(); ++i) list[i].backend = static_cast<Index>(i), list[i].zone = 0, list[i].cell = 1;
-    balancer.told(ListForm::cached, list);
+    balancer.update_backends(ListForm::cached, list);
   }
-  static Settings settings(Semantics semantics, Tenths pause_allowance = 0) {
+  static Settings settings(Semantics semantics, TenthsOfMs pause_allowance = 0) {
     Settings s;
     s.pause_allowance = pause_allowance;
     s.seed = 7;
     s.max_hand_offs = 3;
-    s.may_recall = s.second_copies = true;
+    s.may_cancel = s.may_hedge = true;
     s.keepalive = 100000;
-    s.ask_within = 4000;
+    s.discovery_retry_within = 4000;
     Workload w;
     w.semantics = semantics;
-    w.due_time = 600 * kMs;
+    w.latency_objective = 600 * kMs;
     w.time_limit = 1500 * kMs;
-    w.window = 800 * kMs;
+    w.deduplication_window = 800 * kMs;
     s.workloads = {w};
     return s;
   }
-  Ticket take(int limit_ms = 1500) {
-    return balancer.take({0, kNone, clock.now() + limit_ms * kMs, 0, false, false, {}});
+  InvocationHandle accept(int limit_ms = 1500) {
+    return balancer.accept({0, kNone, clock.now() + limit_ms * kMs, 0, false, false, {}});
   }
   void pass(int ms) {
     for (int i = 0; i < ms; ++i) clock.time += kMs, balancer.tick();
@@ -59,190 +59,190 @@
 }  // namespace
 
 TEST_CASE("a workload's number stands for its old terms for as long as anybody refers to it", "[core]") {
-  Lanes lanes;
+  WorkloadRegistry lanes;
   Workload quick, slow;
   quick.time_limit = 10, slow.time_limit = 20;
-  auto first = lanes.settle({"a", "b"}, {quick, quick});
-  CHECK(first.like == std::vector<Index>{kNone, kNone});
-  auto second = lanes.settle({"b", "a"}, {quick, slow});
-  CHECK(second.offers[0].workload == 1);  // unchanged
-  CHECK(second.offers[1].workload == 2);  // its terms are others, and it goes on from what the old one learned
-  CHECK(second.like == std::vector<Index>{0, 1, 0});
+  auto first = lanes.apply_settings({"a", "b"}, {quick, quick});
+  CHECK(first.inherits_from == std::vector<Index>{kNone, kNone});
+  auto second = lanes.apply_settings({"b", "a"}, {quick, slow});
+  CHECK(second.workload_handles[0].workload == 1);  // unchanged
+  CHECK(second.workload_handles[1].workload == 2);  // its terms are others, and it goes on from what the old one learned
+  CHECK(second.inherits_from == std::vector<Index>{0, 1, 0});
   CHECK(second.workloads == std::vector<Workload>{quick, quick, slow});
   // "a" as it was: its old number is still held by an invocation, so it can't be given for anything else.
-  auto third = lanes.settle({"c"}, {quick});
-  CHECK(third.offers[0].workload == 3);
-  CHECK(third.like[3] == kNone);
+  auto third = lanes.apply_settings({"c"}, {quick});
+  CHECK(third.workload_handles[0].workload == 3);
+  CHECK(third.inherits_from[3] == kNone);
   first = {}, second = {};
-  auto fourth = lanes.settle({"c", "d", "e", "f", "g"}, {quick, quick, quick, quick, quick});
-  CHECK(fourth.offers[0].workload == 3);
+  auto fourth = lanes.apply_settings({"c", "d", "e", "f", "g"}, {quick, quick, quick, quick, quick});
+  CHECK(fourth.workload_handles[0].workload == 3);
   CHECK(fourth.workloads.size() == 5);  // the three that were free are used again
-  for (int i = 0; i < 100; ++i) fourth = lanes.settle({"x" + std::to_string(i)}, {quick});
+  for (int i = 0; i < 100; ++i) fourth = lanes.apply_settings({"x" + std::to_string(i)}, {quick});
   CHECK(fourth.workloads.size() <= 10);
 }
 
 TEST_CASE("what is under way keeps the terms that it came with, and what comes has the new ones", "[core]") {
-  Facade f(Semantics::redoable, 9);
-  const Ticket before = f.take();
-  REQUIRE(f.balancer.pick(before).what == Next::hand_off);
-  auto fresh = std::make_shared<Settings>(Facade::settings(Semantics::redoable));
+  Facade f(Semantics::idempotent, 9);
+  const InvocationHandle before = f.accept();
+  REQUIRE(f.balancer.next_instruction(before).what == InstructionKind::hand_off);
+  auto fresh = std::make_shared<Settings>(Facade::settings(Semantics::idempotent));
   Workload strict = fresh->workloads[0];
-  strict.semantics = Semantics::irreversible;
+  strict.semantics = Semantics::non_idempotent;
   fresh->workloads.push_back(strict);
   fresh->max_hand_offs = 1;
-  f.balancer.settle(fresh, {0, 0});
+  f.balancer.apply_settings(fresh, {0, 0});
   // Under the new number of hand-offs, and the new semantics, it would be over after the first.
   for (int n = 0; n < 2; ++n) {
     f.balancer.report(before, n, Ending::error);
-    const Step next = f.balancer.pick(before);
-    CHECK(next.what == Next::hand_off);
+    const Instruction next = f.balancer.next_instruction(before);
+    CHECK(next.what == InstructionKind::hand_off);
     CHECK(next.number == n + 1);
   }
   f.balancer.report(before, 2, Ending::succeeded);
-  CHECK(f.balancer.pick(before).what == Next::succeeded);
+  CHECK(f.balancer.next_instruction(before).what == InstructionKind::succeeded);
   for (const Index workload : {0U, 1U}) {
-    const Ticket after = f.balancer.take({workload, kNone, f.clock.now() + 15000, 0, false, false, {}});
-    REQUIRE(f.balancer.pick(after).what == Next::hand_off);
+    const InvocationHandle after = f.balancer.accept({workload, kNone, f.clock.now() + 15000, 0, false, false, {}});
+    REQUIRE(f.balancer.next_instruction(after).what == InstructionKind::hand_off);
     f.balancer.report(after, 0, Ending::error);
-    CHECK(f.balancer.pick(after).what == (workload == 0 ? Next::reject : Next::give_up));
+    CHECK(f.balancer.next_instruction(after).what == (workload == 0 ? InstructionKind::reject : InstructionKind::give_up));
   }
 }
 
 TEST_CASE("an invocation whose body is gone is not handed off again, and rejected only if it has not run", "[core]") {
   for (const Ending ending : {Ending::unreachable, Ending::error}) {
-    Facade f(Semantics::labelled);
-    const Ticket v = f.balancer.take({0, kNone, f.clock.now() + 15000, 0, false, true, {}});
-    REQUIRE(f.balancer.pick(v).what == Next::hand_off);
+    Facade f(Semantics::idempotency_keyed);
+    const InvocationHandle v = f.balancer.accept({0, kNone, f.clock.now() + 15000, 0, false, true, {}});
+    REQUIRE(f.balancer.next_instruction(v).what == InstructionKind::hand_off);
     f.pass(1000);  // no copy, however long it takes
     f.balancer.report(v, 0, ending, {0, true});
-    CHECK(f.balancer.pick(v).what == (ending == Ending::error ? Next::give_up : Next::reject));
+    CHECK(f.balancer.next_instruction(v).what == (ending == Ending::error ? InstructionKind::give_up : InstructionKind::reject));
   }
 }
 
 TEST_CASE("an answer ends its invocation, and a later one of another hand-off is nobody's", "[core]") {
   Facade f;
-  const Ticket v = f.take();
-  const Step first = f.balancer.pick(v);
-  REQUIRE(first.what == Next::hand_off);
+  const InvocationHandle v = f.accept();
+  const Instruction first = f.balancer.next_instruction(v);
+  REQUIRE(first.what == InstructionKind::hand_off);
   CHECK(first.until < f.clock.now() + 1500 * kMs);
   f.pass(250);  // slow at a backend of which nothing good is known: a second copy
-  const Step copy = f.balancer.pick(v);
-  REQUIRE(copy.what == Next::hand_off);
+  const Instruction copy = f.balancer.next_instruction(v);
+  REQUIRE(copy.what == InstructionKind::hand_off);
   CHECK(copy.backend != first.backend);
   f.balancer.report(v, copy.number, Ending::succeeded);
-  const Step recall = f.balancer.pick(v);
-  CHECK(recall.what == Next::recall);
-  CHECK(recall.number == first.number);
-  const Step end = f.balancer.pick(v);
-  CHECK(end.what == Next::succeeded);
+  const Instruction cancel = f.balancer.next_instruction(v);
+  CHECK(cancel.what == InstructionKind::cancel);
+  CHECK(cancel.number == first.number);
+  const Instruction end = f.balancer.next_instruction(v);
+  CHECK(end.what == InstructionKind::succeeded);
   CHECK(end.number == copy.number);
   f.balancer.report(v, first.number, Ending::succeeded);
   f.balancer.client_gone(v);
   // Both are quiet: the next invocation's steps are its own, though the index is used again.
-  const Ticket next = f.take();
-  CHECK(f.balancer.pick(next).what == Next::hand_off);
+  const InvocationHandle next = f.accept();
+  CHECK(f.balancer.next_instruction(next).what == InstructionKind::hand_off);
 }
 
 TEST_CASE("while the one that picks is busy, a copy and a recall reach it at once", "[core]") {
   const bool sent = GENERATE(true, false);
   Facade f;
-  const Ticket v = f.take();
-  const Step first = f.balancer.pick(v);
-  std::vector<Step> urgent;
-  f.balancer.busy(v, [&](const Step& step) { return urgent.push_back(step), sent; });
+  const InvocationHandle v = f.accept();
+  const Instruction first = f.balancer.next_instruction(v);
+  std::vector<Instruction> urgent;
+  f.balancer.set_urgent_handler(v, [&](const Instruction& step) { return urgent.push_back(step), sent; });
   f.pass(250);
   REQUIRE(!urgent.empty());
-  CHECK(urgent[0].what == Next::hand_off);
+  CHECK(urgent[0].what == InstructionKind::hand_off);
   f.balancer.client_gone(v);
   CHECK(urgent.size() == (sent ? 3 : 2));  // a copy that can't be sent is not recalled: it was never out
-  CHECK(urgent.back().what == Next::recall);
+  CHECK(urgent.back().what == InstructionKind::cancel);
   f.balancer.report(v, first.number, Ending::recalled);
-  CHECK(f.balancer.pick(v).what == Next::gone);
+  CHECK(f.balancer.next_instruction(v).what == InstructionKind::gone);
 }
 
 TEST_CASE("a recall that came before the one that picks was busy reaches it all the same", "[core]") {
   Facade f;
-  const Ticket v = f.take();
-  const Step first = f.balancer.pick(v);
+  const InvocationHandle v = f.accept();
+  const Instruction first = f.balancer.next_instruction(v);
   f.balancer.client_gone(v);
   int recalls = 0;
-  f.balancer.busy(v, [&](const Step& step) { return recalls += step.what == Next::recall, true; });
+  f.balancer.set_urgent_handler(v, [&](const Instruction& step) { return recalls += step.what == InstructionKind::cancel, true; });
   CHECK(recalls == 1);
   f.balancer.report(v, first.number, Ending::recalled);
-  CHECK(f.balancer.pick(v).what == Next::gone);
+  CHECK(f.balancer.next_instruction(v).what == InstructionKind::gone);
 }
 
 TEST_CASE("what is proven not to have run goes to another backend; what may have run does not", "[core]") {
-  const auto [ending, next] = GENERATE(table<Ending, Next>({{Ending::unreachable, Next::hand_off},
-                                                            {Ending::turned_away, Next::hand_off},
-                                                            {Ending::never_sent, Next::hand_off},
-                                                            {Ending::error, Next::give_up},
-                                                            {Ending::broken, Next::give_up},
-                                                            {Ending::timed_out, Next::give_up}}));
-  Facade f(Semantics::irreversible);
+  const auto [ending, next] = GENERATE(table<Ending, InstructionKind>({{Ending::unreachable, InstructionKind::hand_off},
+                                                            {Ending::turned_away, InstructionKind::hand_off},
+                                                            {Ending::never_sent, InstructionKind::hand_off},
+                                                            {Ending::error, InstructionKind::give_up},
+                                                            {Ending::broken, InstructionKind::give_up},
+                                                            {Ending::timed_out, InstructionKind::give_up}}));
+  Facade f(Semantics::non_idempotent);
   for (int i = 0; i < 10; ++i) {  // connections are known to come up
-    const Ticket v = f.take();
-    f.balancer.report(v, f.balancer.pick(v).number, Ending::succeeded);
+    const InvocationHandle v = f.accept();
+    f.balancer.report(v, f.balancer.next_instruction(v).number, Ending::succeeded);
   }
-  const Ticket v = f.take();
-  const Step first = f.balancer.pick(v);
+  const InvocationHandle v = f.accept();
+  const Instruction first = f.balancer.next_instruction(v);
   f.balancer.report(v, first.number, ending);
-  CHECK(f.balancer.pick(v).what == next);
+  CHECK(f.balancer.next_instruction(v).what == next);
 }
 
 TEST_CASE("a labelled repeat of what may have run has to be sent within the window, and nothing else has", "[core]") {
   const auto [semantics, ending, has_end] = GENERATE(table<Semantics, Ending, bool>({
-      {Semantics::labelled, Ending::broken, true},
-      {Semantics::labelled, Ending::turned_away, false},
-      {Semantics::redoable, Ending::broken, false},
-      {Semantics::irreversible, Ending::turned_away, false},
+      {Semantics::idempotency_keyed, Ending::broken, true},
+      {Semantics::idempotency_keyed, Ending::turned_away, false},
+      {Semantics::idempotent, Ending::broken, false},
+      {Semantics::non_idempotent, Ending::turned_away, false},
   }));
   Facade it(semantics);
-  const Tenths sent = it.clock.now();
-  const Ticket ticket = it.take();
-  const Step first = it.balancer.pick(ticket);
+  const TenthsOfMs sent = it.clock.now();
+  const InvocationHandle ticket = it.accept();
+  const Instruction first = it.balancer.next_instruction(ticket);
   CHECK(first.begin_by == INT64_MAX);
   it.pass(5);
   it.balancer.report(ticket, first.number, ending);
-  const Step second = it.balancer.pick(ticket);
-  REQUIRE(second.what == Next::hand_off);
+  const Instruction second = it.balancer.next_instruction(ticket);
+  REQUIRE(second.what == InstructionKind::hand_off);
   CHECK(second.begin_by == (has_end ? sent + 800 * kMs : INT64_MAX));
 }
 
 TEST_CASE("a hand-off that nobody has picked up when its client goes never goes out", "[core]") {
   Facade f;
-  const Ticket v = f.take();
+  const InvocationHandle v = f.accept();
   f.balancer.client_gone(v);
-  CHECK(f.balancer.pick(v).what == Next::gone);
+  CHECK(f.balancer.next_instruction(v).what == InstructionKind::gone);
   // It was told as never sent, so nothing of it stays out: 300 more leave no trace in the limits.
-  for (int i = 0; i < 300; ++i) f.balancer.client_gone(f.take());
-  CHECK(f.balancer.pick(f.take()).what == Next::hand_off);
+  for (int i = 0; i < 300; ++i) f.balancer.client_gone(f.accept());
+  CHECK(f.balancer.next_instruction(f.accept()).what == InstructionKind::hand_off);
 }
 
 TEST_CASE("an invocation whose hand-off never ends is answered before its limit", "[core]") {
-  Facade f(Semantics::irreversible);
-  const Ticket v = f.take(400);
-  REQUIRE(f.balancer.pick(v).what == Next::hand_off);
+  Facade f(Semantics::non_idempotent);
+  const InvocationHandle v = f.accept(400);
+  REQUIRE(f.balancer.next_instruction(v).what == InstructionKind::hand_off);
   f.pass(399);
-  Step last = f.balancer.pick(v);
-  CHECK(last.what == Next::recall);
-  CHECK(f.balancer.pick(v).what == Next::give_up);
+  Instruction last = f.balancer.next_instruction(v);
+  CHECK(last.what == InstructionKind::cancel);
+  CHECK(f.balancer.next_instruction(v).what == InstructionKind::give_up);
 }
 
 TEST_CASE("what is over wakes nobody at its limit", "[core]") {
   // Nearly every invocation ends long before it, and each had a timer of its own.
-  Settings settings = Facade::settings(Semantics::redoable);
-  settings.second_copies =
+  Settings settings = Facade::settings(Semantics::idempotent);
+  settings.may_hedge =
       false;  // these have times of their own, at most one in so many times what is usual
   Decider decider(settings, 1000000);
   ListEntry entry;
   entry.backend = entry.zone = 0;
   decider.decide(1000000, FleetList{ListForm::full, {entry}});
   int timers = 0;
-  const auto tell = [&](Tenths now, const Event& event) {
-    for (const Action& a : decider.decide(now, event)) timers += a.what == Do::set_timer;
+  const auto tell = [&](TenthsOfMs now, const Event& event) {
+    for (const Action& a : decider.decide(now, event)) timers += a.what == ActionKind::set_timer;
   };
-  Tenths now = 1000000;
+  TenthsOfMs now = 1000000;
   for (int i = 0; i < 300; ++i, now += 10 * kMs) {
     tell(now, Arrival{0, 0, kNone, now + 1500 * kMs, 0, false});
     tell(now + kMs, HandOffEnded{0, 0, Ending::succeeded, true, kMs});
@@ -255,28 +255,28 @@
 TEST_CASE("an invocation's due time counts from its last byte, and from its handling where that is not known",
           "[core]") {
   const auto [age_ms, counted_ms] = GENERATE(table<int, int>({{90, 90}, {0, 0}, {-50, 0}}));
-  Facade f(Semantics::irreversible);
-  const Tenths now = f.clock.now();
-  const Tenths due = now + 600 * kMs;
-  const Tenths margin = Facade::settings(Semantics::irreversible).tick + 1;
-  Demand demand;
+  Facade f(Semantics::non_idempotent);
+  const TenthsOfMs now = f.clock.now();
+  const TenthsOfMs due = now + 600 * kMs;
+  const TenthsOfMs margin = Facade::settings(Semantics::non_idempotent).tick + 1;
+  IncomingInvocation demand;
   demand.valid_until = now + 1500 * kMs;
   SECTION("told") {
     demand.arrived = now - age_ms * kMs;
-    CHECK(f.balancer.pick(f.balancer.take(demand)).until == due - counted_ms * kMs - margin);
+    CHECK(f.balancer.next_instruction(f.balancer.accept(demand)).until == due - counted_ms * kMs - margin);
   }
-  SECTION("not told") { CHECK(f.balancer.pick(f.balancer.take(demand)).until == due - margin); }
+  SECTION("not told") { CHECK(f.balancer.next_instruction(f.balancer.accept(demand)).until == due - margin); }
 }
 
 // Guards against patience counted from the handling: what had waited unread waited for a place in full.
 TEST_CASE("an invocation waits for a place no longer than its patience from its last byte", "[core]") {
-  constexpr Tenths kWaited = 50 * kMs, kPatience = 600 * kMs / 8;
-  constexpr Tenths kNow = 1000000, kAnswered = kNow - kWaited + kPatience;
-  Decider decider(Facade::settings(Semantics::redoable), kNow);
+  constexpr TenthsOfMs kWaited = 50 * kMs, kPatience = 600 * kMs / 8;
+  constexpr TenthsOfMs kNow = 1000000, kAnswered = kNow - kWaited + kPatience;
+  Decider decider(Facade::settings(Semantics::idempotent), kNow);
   ListEntry entry;
   entry.backend = entry.zone = 0;
   decider.decide(kNow, FleetList{ListForm::full, {entry}});
-  const auto does = [&decider](Do what, Tenths now, const Event& event) {
+  const auto does = [&decider](ActionKind what, TenthsOfMs now, const Event& event) {
     const std::vector<Action>& actions = decider.decide(now, event);
     return std::any_of(actions.begin(), actions.end(),
                        [what](const Action& action) { return action.what == what; });
@@ -285,33 +285,33 @@
     return Arrival{invocation, 0, kNone, kNow + 1500 * kMs, 0, false, false, kNow - kWaited};
   };
   Index invocations = 0;
-  while (does(Do::hand_off, kNow, arrival(invocations))) REQUIRE(++invocations < 100);
-  CHECK_FALSE(does(Do::reject, kAnswered - kMs, TimerDue{}));
-  CHECK(does(Do::reject, kAnswered, TimerDue{}));
+  while (does(ActionKind::hand_off, kNow, arrival(invocations))) REQUIRE(++invocations < 100);
+  CHECK_FALSE(does(ActionKind::reject, kAnswered - kMs, TimerDue{}));
+  CHECK(does(ActionKind::reject, kAnswered, TimerDue{}));
 }
 
 TEST_CASE("with no backend an invocation is rejected, not held", "[core]") {
-  Facade f(Semantics::irreversible, 0);
-  const Ticket v = f.take();
+  Facade f(Semantics::non_idempotent, 0);
+  const InvocationHandle v = f.accept();
   f.pass(100);
-  CHECK(f.balancer.pick(v).what == Next::reject);
+  CHECK(f.balancer.next_instruction(v).what == InstructionKind::reject);
 }
 
 TEST_CASE("pick blocks in one thread until another reports or the clock's thread answers", "[core]") {
   Facade f;
   std::thread ticks([&] { f.balancer.run_ticks(); });
-  const Ticket v = f.take(), late = f.take(300);
-  const Step first = f.balancer.pick(v);
+  const InvocationHandle v = f.accept(), late = f.accept(300);
+  const Instruction first = f.balancer.next_instruction(v);
   std::thread worker([&] { f.balancer.report(v, first.number, Ending::succeeded); });
-  CHECK(f.balancer.pick(v).what == Next::succeeded);
+  CHECK(f.balancer.next_instruction(v).what == InstructionKind::succeeded);
   worker.join();
-  Step step = f.balancer.pick(late);
-  REQUIRE(step.what == Next::hand_off);
+  Instruction step = f.balancer.next_instruction(late);
+  REQUIRE(step.what == InstructionKind::hand_off);
   std::thread passes([&] {
     for (int i = 0; i < 300; ++i) f.clock.time += kMs, std::this_thread::yield();
   });
   int handed_off = 1;
-  while ((step = f.balancer.pick(late)).what != Next::reject) handed_off += step.what == Next::hand_off;
+  while ((step = f.balancer.next_instruction(late)).what != InstructionKind::reject) handed_off += step.what == InstructionKind::hand_off;
   CHECK(handed_off <= 3);
   passes.join();
   f.balancer.stop();
@@ -320,32 +320,32 @@
 
 TEST_CASE("the list is watched from the start, and again after a failure, but not at once", "[core]") {
   Facade f;
-  CHECK(f.balancer.await_watch());
-  f.balancer.told(ListForm::failed, {});
+  CHECK(f.balancer.wait_for_discovery_request());
+  f.balancer.update_backends(ListForm::failed, {});
   bool again = false;
-  std::thread waits([&] { again = f.balancer.await_watch(); });
+  std::thread waits([&] { again = f.balancer.wait_for_discovery_request(); });
   f.pass(1000);
   waits.join();
   CHECK(again);
   f.balancer.stop();
-  CHECK_FALSE(f.balancer.await_watch());
+  CHECK_FALSE(f.balancer.wait_for_discovery_request());
 }
 
 TEST_CASE("the number of a gone backend is free once no invocation remembers it", "[core]") {
-  Facade f(Semantics::redoable, 1);
-  const Ticket v = f.take();
-  REQUIRE(f.balancer.pick(v).what == Next::hand_off);
+  Facade f(Semantics::idempotent, 1);
+  const InvocationHandle v = f.accept();
+  REQUIRE(f.balancer.next_instruction(v).what == InstructionKind::hand_off);
   ListEntry gone;
   gone.backend = 0;
   gone.availability = Availability::deleted;
-  f.balancer.told(ListForm::delta, {gone});
-  CHECK(f.balancer.released().empty());
+  f.balancer.update_backends(ListForm::delta, {gone});
+  CHECK(f.balancer.take_released().empty());
   f.balancer.report(v, 0, Ending::succeeded);
-  CHECK(f.balancer.released() == std::vector<Index>{0});
+  CHECK(f.balancer.take_released() == std::vector<Index>{0});
   // The next one with that number is a new backend.
-  f.balancer.told(ListForm::delta, {ListEntry{0, kNone, 0}});
-  const Step step = f.balancer.pick(f.take());
-  CHECK(step.what == Next::hand_off);
+  f.balancer.update_backends(ListForm::delta, {ListEntry{0, kNone, 0}});
+  const Instruction step = f.balancer.next_instruction(f.accept());
+  CHECK(step.what == InstructionKind::hand_off);
   CHECK(step.backend == 0);
 }
 
@@ -353,19 +353,19 @@
 TEST_CASE("whatever came before it, a watch that falls silent is begun anew well before its news counts as told", "[core]") {
   // Turned away once or twice at its start a node asked for waits of 6 and 12 s, and called again just when it counted as
   // told, at its leisure: requests went to backends that had long been listed as draining.
-  using Was = WatchPace::Was;
+  using PollResult = DiscoverySchedule::PollResult;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
-    WatchPace pace(seed);
-    Tenths now = 0;
-    WatchPace::Next next = pace.first();
-    for (std::uint64_t n = 0; n < seed % 5; ++n) next = pace.after(now += 5000, Was::turned_away);
-    for (std::uint64_t n = 0; n < seed % 3; ++n) next = pace.after(now += next.wait, Was::answered);
-    const Tenths told = std::max<Tenths>(60000, next.wait + 20000);
-    const Tenths noticed = next.wait + next.patience;
+    DiscoverySchedule pace(seed);
+    TenthsOfMs now = 0;
+    DiscoverySchedule::NextPoll next = pace.first();
+    for (std::uint64_t n = 0; n < seed % 5; ++n) next = pace.after(now += 5000, PollResult::turned_away);
+    for (std::uint64_t n = 0; n < seed % 3; ++n) next = pace.after(now += next.wait, PollResult::answered);
+    const TenthsOfMs told = std::max<TenthsOfMs>(60000, next.wait + 20000);
+    const TenthsOfMs noticed = next.wait + next.answer_timeout;
     CHECK(noticed <= told - 20000);  // a fleet of hundreds does not get through to a small discovery at once
-    Tenths at = noticed;
+    TenthsOfMs at = noticed;
     int calls = 0;
-    for (next = pace.after(now + at, Was::silent); at + next.pause < told; next = pace.after(now + at, Was::turned_away))
+    for (next = pace.after(now + at, PollResult::silent); at + next.pause < told; next = pace.after(now + at, PollResult::turned_away))
       at += next.pause, ++calls;
     CHECK(at > told - 3000);  // it goes on until then
     CHECK(calls >= 7);
@@ -373,32 +373,32 @@
 }
 
 TEST_CASE("calls that begin a watch are not made at once, unless news may be overdue", "[core]") {
-  using Was = WatchPace::Was;
-  WatchPace pace(1);
-  const Tenths at_leisure = 2500, hurried = 3000;
-  CHECK(pace.after(0, Was::turned_away).pause >= at_leisure);
-  CHECK(pace.after(0, Was::lost).pause >= at_leisure);
-  const auto goes_on = pace.after(0, Was::answered);
+  using PollResult = DiscoverySchedule::PollResult;
+  DiscoverySchedule pace(1);
+  const TenthsOfMs at_leisure = 2500, hurried = 3000;
+  CHECK(pace.after(0, PollResult::turned_away).pause >= at_leisure);
+  CHECK(pace.after(0, PollResult::lost).pause >= at_leisure);
+  const auto goes_on = pace.after(0, PollResult::answered);
   CHECK(goes_on.pause == 0);
-  const auto anew = pace.after(0, Was::lost);  // between two calls
+  const auto anew = pace.after(0, PollResult::lost);  // between two calls
   CHECK(anew.pause == 0);
-  CHECK(anew.patience > goes_on.patience);  // it may have to stand in line
-  CHECK(pace.after(0, Was::lost).pause >= at_leisure);
-  CHECK(pace.after(100, Was::moved).pause == 0);
-  CHECK(pace.after(40000, Was::turned_away).pause <= hurried);
-  CHECK(pace.after(100000, Was::turned_away).pause >= at_leisure);
+  CHECK(anew.answer_timeout > goes_on.answer_timeout);  // it may have to stand in line
+  CHECK(pace.after(0, PollResult::lost).pause >= at_leisure);
+  CHECK(pace.after(100, PollResult::address_changed).pause == 0);
+  CHECK(pace.after(40000, PollResult::turned_away).pause <= hurried);
+  CHECK(pace.after(100000, PollResult::turned_away).pause >= at_leisure);
 }
 
 TEST_CASE("however long discovery was away, several calls are made before its news counts as told", "[core]") {
   // With waits that doubled up to 6 s and grew with the settings' time for asking, one call that was turned away at the
   // return of discovery left a node without the news when that counted as told.
-  using Was = WatchPace::Was;
-  const Tenths counts_as_told = 60000;
+  using PollResult = DiscoverySchedule::PollResult;
+  const TenthsOfMs counts_as_told = 60000;
   for (std::uint64_t seed = 0; seed < 200; ++seed) {
-    WatchPace pace(seed);
-    Tenths now = 0, longest = 0;
+    DiscoverySchedule pace(seed);
+    TenthsOfMs now = 0, longest = 0;
     for (int failed = 0; now < 400000; ++failed) {
-      const auto next = pace.after(now, failed % 3 ? Was::lost : Was::turned_away);
+      const auto next = pace.after(now, failed % 3 ? PollResult::lost : PollResult::turned_away);
       longest = std::max(longest, next.pause);
       now += next.pause;
     }
@@ -407,45 +407,45 @@
 }
 
 TEST_CASE("a discovery that is slow to answer is soon waited for, not asked to begin ever new watches", "[core]") {
-  using Was = WatchPace::Was;
-  WatchPace pace(1);
-  const Tenths late = 12000;  // so long after the wait each answer comes
+  using PollResult = DiscoverySchedule::PollResult;
+  DiscoverySchedule pace(1);
+  const TenthsOfMs late = 12000;  // so long after the wait each answer comes
   int begun = 1;
   auto next = pace.first();
-  for (Tenths now = 0; now < 600000;) {
-    const bool in_time = late <= next.patience;
-    now += next.wait + (in_time ? late : next.patience);
+  for (TenthsOfMs now = 0; now < 600000;) {
+    const bool in_time = late <= next.answer_timeout;
+    now += next.wait + (in_time ? late : next.answer_timeout);
     if (!in_time) ++begun;
-    next = pace.after(now, in_time ? Was::answered : Was::silent);
+    next = pace.after(now, in_time ? PollResult::answered : PollResult::silent);
   }
   CHECK(begun <= 30);  // 270 calls in a minute
 }
 
 TEST_CASE("a stop leaves a node that is held up twice the time to write its last answers before the kill", "[core]") {
   const auto limit = std::chrono::milliseconds(GENERATE(0, 100, 250, 823, 1000, 2113, 3000, 9000));
-  const core::Stop stop = core::stop_before_kill(limit);
+  const core::ShutdownPlan stop = core::plan_shutdown(limit);
   const std::chrono::milliseconds kill = std::min(limit, std::chrono::milliseconds(3000)) + std::chrono::milliseconds(700);
   // Once before the order is noticed, and once right before the answers are written.
-  CHECK(stop.answering + 2 * std::chrono::milliseconds(150) < kill);
-  CHECK(stop.accepting <= stop.keeping);
-  CHECK(stop.keeping < stop.answering);
-  CHECK(stop.answering > std::min(limit, std::chrono::milliseconds(3000)));  // what it held before can use its time
+  CHECK(stop.answer_within + 2 * std::chrono::milliseconds(150) < kill);
+  CHECK(stop.accept_for <= stop.keep_connections_for);
+  CHECK(stop.keep_connections_for < stop.answer_within);
+  CHECK(stop.answer_within > std::min(limit, std::chrono::milliseconds(3000)));  // what it held before can use its time
 }
 
 TEST_CASE("a limit is kept though another event comes right when an earlier one is due", "[core]") {
-  Facade facade(Semantics::irreversible);
-  const Ticket first = facade.take(300), second = facade.take(700);
-  REQUIRE(facade.balancer.pick(first).what == Next::hand_off);
-  REQUIRE(facade.balancer.pick(second).what == Next::hand_off);
+  Facade facade(Semantics::non_idempotent);
+  const InvocationHandle first = facade.accept(300), second = facade.accept(700);
+  REQUIRE(facade.balancer.next_instruction(first).what == InstructionKind::hand_off);
+  REQUIRE(facade.balancer.next_instruction(second).what == InstructionKind::hand_off);
   facade.clock.time += 300 * kMs;
   // The attempt of the first runs out at the same moment, and is heard of before the timers' thread runs.
   facade.balancer.report(first, 0, Ending::timed_out);
   facade.balancer.tick();
-  REQUIRE(facade.balancer.answered(first));
-  CHECK_FALSE(facade.balancer.answered(second));
+  REQUIRE(facade.balancer.is_answered(first));
+  CHECK_FALSE(facade.balancer.is_answered(second));
   facade.clock.time += 400 * kMs;
   facade.balancer.tick();
-  CHECK(facade.balancer.answered(second));
+  CHECK(facade.balancer.is_answered(second));
 }
 
 TEST_CASE("bytes that a late look finds may have come right after the last look that found nothing", "[core]") {
@@ -453,8 +453,8 @@
   const core::ArrivalEstimate::TimePoint start{};
   const auto at = [&](int ms) { return start + milliseconds(ms); };
   core::ArrivalEstimate arrival(start);
-  arrival.found_nothing(at(30));
-  arrival.found_nothing(at(50));
+  arrival.found_no_bytes(at(30));
+  arrival.found_no_bytes(at(50));
   SECTION("what a look in time finds has just come") {
     arrival.found_bytes(at(75));  // a little late is no pause
     CHECK(arrival.arrival() == at(75));
@@ -465,21 +465,21 @@
     CHECK(arrival.latest() == at(140));
   }
   SECTION("also where it found nothing") {
-    arrival.found_nothing(at(140));
+    arrival.found_no_bytes(at(140));
     arrival.found_bytes(at(150));
     CHECK(arrival.arrival() == at(50));
   }
   SECTION("looks that each end a little late make no request younger by more than the longest gap") {
     for (const int came : {31, 51, 60}) {
       core::ArrivalEstimate late = arrival;
-      late.found_nothing(at(84));  // its call found nothing right after 50
+      late.found_no_bytes(at(84));  // its call found nothing right after 50
       late.found_bytes(at(118));
-      CHECK(late.arrival() - at(came) <= core::ArrivalEstimate::kLongestGap);
+      CHECK(late.arrival() - at(came) <= core::ArrivalEstimate::kMaxCheckGap);
     }
   }
   SECTION("the next look after it knows that nothing had come when that ended") {
-    arrival.found_nothing(at(140));
-    arrival.found_nothing(at(160));
+    arrival.found_no_bytes(at(140));
+    arrival.found_no_bytes(at(160));
     arrival.found_bytes(at(170));
     CHECK(arrival.arrival() == at(170));
   }
@@ -494,39 +494,39 @@
   }
   SECTION("a request that comes in pieces came with its last one") {
     arrival.found_bytes(at(60));
-    arrival.found_nothing(at(61));
+    arrival.found_no_bytes(at(61));
     arrival.found_bytes(at(80));
     CHECK(arrival.arrival() == at(80));
   }
   SECTION("and one whose last piece a late look finds may have come after the piece before") {
     arrival.found_bytes(at(60));
-    arrival.found_nothing(at(61));
+    arrival.found_no_bytes(at(61));
     arrival.found_bytes(at(150));
     CHECK(arrival.arrival() == at(60));
   }
   SECTION("a client sends its next request after its answer") {
     arrival.found_bytes(at(60));
-    arrival.nothing_until(at(500));
+    arrival.no_bytes_until(at(500));
     arrival.found_bytes(at(600));
     CHECK(arrival.arrival() == at(500));
   }
   SECTION("what the system tells chooses among the moments that the looks allow, and no other") {
     arrival.found_bytes(at(140));
-    CHECK(arrival.arrival_as_told(at(90)) == at(90));
-    CHECK(arrival.arrival_as_told(at(10)) == at(30));
-    CHECK(arrival.arrival_as_told(at(300)) == at(140));
+    CHECK(arrival.arrival_by_system_time(at(90)) == at(90));
+    CHECK(arrival.arrival_by_system_time(at(10)) == at(30));
+    CHECK(arrival.arrival_by_system_time(at(300)) == at(140));
   }
   SECTION("it may tell that the last piece of what was read without a pause came after the first") {
     arrival.found_bytes(at(60));
     arrival.found_bytes(at(200));
-    CHECK(arrival.arrival_as_told(at(190)) == at(190));
-    CHECK(arrival.arrival_as_told(at(250)) == at(200));
+    CHECK(arrival.arrival_by_system_time(at(190)) == at(190));
+    CHECK(arrival.arrival_by_system_time(at(250)) == at(200));
   }
   SECTION("it can't tell of a request of which nothing was found yet") {
     arrival.found_bytes(at(60));
-    arrival.nothing_until(at(500));
-    CHECK(arrival.arrival_as_told(at(60)) == at(500));
-    CHECK(arrival.arrival_as_told(at(900)) == at(500));
+    arrival.no_bytes_until(at(500));
+    CHECK(arrival.arrival_by_system_time(at(60)) == at(500));
+    CHECK(arrival.arrival_by_system_time(at(900)) == at(500));
   }
   SECTION("a clock that was read before another thread's makes nothing younger") {
     arrival.found_bytes(at(25));
@@ -536,86 +536,86 @@
 
 TEST_CASE("a long answer is passed on whole, or after its longest keeping where its limit is far", "[core]") {
   using std::chrono::milliseconds;
-  using core::AnswerHold;
-  using Verdict = AnswerHold::Verdict;
-  const AnswerHold::TimePoint begun{};
+  using core::AnswerBuffering;
+  using Decision = AnswerBuffering::Decision;
+  const AnswerBuffering::TimePoint begun{};
   const auto at = [&](int ms) { return begun + milliseconds(ms); };
   constexpr std::size_t kHad = 30000;
   SECTION("it comes steadily, and its limit is near: kept to it, and answered otherwise then") {
     for (const int limit : {90, 240, 400, 700, 836, 1500, 2000, 3000, 3500}) {
-      AnswerHold hold(begun, at(limit), kHad);
+      AnswerBuffering hold(begun, at(limit), kHad);
       for (int ms = 10; ms < limit; ms += 10) {
-        hold.note(5000);
-        CHECK(hold.at(at(ms)) == Verdict::keep);
+        hold.add_received(5000);
+        CHECK(hold.at(at(ms)) == Decision::buffer);
       }
-      CHECK(hold.at(at(limit - 1)) == Verdict::keep);
-      CHECK(hold.at(at(limit)) == Verdict::give_up);
+      CHECK(hold.at(at(limit - 1)) == Decision::buffer);
+      CHECK(hold.at(at(limit)) == Decision::give_up);
     }
   }
   SECTION("it stopped, or drips, and its limit is near: the same") {
     for (const int limit : {90, 700, 1500, 3000}) {
-      AnswerHold hold(begun, at(limit), kHad);
-      hold.note(150000);
-      CHECK(hold.at(at(limit - 1)) == Verdict::keep);
-      CHECK(hold.at(at(limit)) == Verdict::give_up);
+      AnswerBuffering hold(begun, at(limit), kHad);
+      hold.add_received(150000);
+      CHECK(hold.at(at(limit - 1)) == Decision::buffer);
+      CHECK(hold.at(at(limit)) == Decision::give_up);
     }
   }
   SECTION("its limit is far: what has come is kept for less than 2 s, whether or not it still comes") {
-    AnswerHold hold(begun, at(9000), kHad);
-    hold.note(150000);
-    CHECK(hold.at(at(1699)) == Verdict::keep);
-    CHECK(hold.at(at(1700)) == Verdict::pass_on);
+    AnswerBuffering hold(begun, at(9000), kHad);
+    hold.add_received(150000);
+    CHECK(hold.at(at(1699)) == Decision::buffer);
+    CHECK(hold.at(at(1700)) == Decision::forward);
   }
   SECTION("its limit is far, and it drips: taken for one that never ends") {
-    AnswerHold hold(begun, at(9000), 0);
+    AnswerBuffering hold(begun, at(9000), 0);
     for (int ms = 0; ms < 9000; ms += 100) {
-      hold.note(20);
-      CHECK(hold.at(at(ms)) == Verdict::keep);
+      hold.add_received(20);
+      CHECK(hold.at(at(ms)) == Decision::buffer);
     }
-    CHECK(hold.at(at(9000)) == Verdict::give_up);
+    CHECK(hold.at(at(9000)) == Decision::give_up);
   }
   SECTION("each moment at which that may change is told before") {
-    const AnswerHold far(begun, at(9000), kHad), near(begun, at(3000), kHad);
-    CHECK(far.next_look(at(5)) == at(1700));
-    CHECK(far.next_look(at(1700)) == at(9000));
-    CHECK(near.next_look(at(5)) == at(3000));
-    CHECK(near.next_look(at(2990)) == at(3000));
+    const AnswerBuffering far(begun, at(9000), kHad), near(begun, at(3000), kHad);
+    CHECK(far.next_decision_at(at(5)) == at(1700));
+    CHECK(far.next_decision_at(at(1700)) == at(9000));
+    CHECK(near.next_decision_at(at(5)) == at(3000));
+    CHECK(near.next_decision_at(at(2990)) == at(3000));
   }
 }
 
 TEST_CASE("an attempt is likely to be answered where those that were out for as long were, lately", "[core]") {
-  constexpr Tenths kNow = 1000000, kAge = 400 * kMs, kMore = 100 * kMs;
-  policy::AnswerOdds odds;
-  SECTION("nothing is known: it is not") { CHECK_FALSE(odds.likely(kNow, kAge, kMore)); }
+  constexpr TenthsOfMs kNow = 1000000, kAge = 400 * kMs, kMore = 100 * kMs;
+  policy::AnswerProbability odds;
+  SECTION("nothing is known: it is not") { CHECK_FALSE(odds.is_likely(kNow, kAge, kMore)); }
   SECTION("all were answered long before that age") {
     for (int i = 0; i < 1000; ++i) odds.answered(kNow, 20 * kMs);
-    CHECK_FALSE(odds.likely(kNow, kAge, kMore));
-    CHECK(odds.likely(kNow, 5 * kMs, kMore));
+    CHECK_FALSE(odds.is_likely(kNow, kAge, kMore));
+    CHECK(odds.is_likely(kNow, 5 * kMs, kMore));
   }
   SECTION("some were answered at about that age, most of the others never") {
     odds.answered(kNow, 420 * kMs);
-    CHECK(odds.likely(kNow, kAge, kMore));
+    CHECK(odds.is_likely(kNow, kAge, kMore));
     for (int i = 0; i < 45; ++i) odds.unanswered(kNow, 500 * kMs);
-    CHECK(odds.likely(kNow, kAge, kMore));
+    CHECK(odds.is_likely(kNow, kAge, kMore));
     for (int i = 0; i < 15; ++i) odds.unanswered(kNow, 500 * kMs);
-    CHECK_FALSE(odds.likely(kNow, kAge, kMore));
+    CHECK_FALSE(odds.is_likely(kNow, kAge, kMore));
   }
   SECTION("they were answered, but only after its time") {
     for (int i = 0; i < 100; ++i) odds.answered(kNow, 1200 * kMs);
-    CHECK_FALSE(odds.likely(kNow, kAge, kMore));
+    CHECK_FALSE(odds.is_likely(kNow, kAge, kMore));
   }
   SECTION("that was long ago") {
     odds.answered(kNow, 420 * kMs);
-    CHECK(odds.likely(kNow + 60 * 1000 * kMs, kAge, kMore));
-    CHECK_FALSE(odds.likely(kNow + 600 * 1000 * kMs, kAge, kMore));
+    CHECK(odds.is_likely(kNow + 60 * 1000 * kMs, kAge, kMore));
+    CHECK_FALSE(odds.is_likely(kNow + 600 * 1000 * kMs, kAge, kMore));
   }
   SECTION("the longest times have their place too") {
     odds.answered(kNow, 100000 * kMs);
-    CHECK(odds.likely(kNow, 100000 * kMs, 1000000 * kMs));
+    CHECK(odds.is_likely(kNow, 100000 * kMs, 1000000 * kMs));
   }
   SECTION("one of sixteen is waited for all the same") {
     int probes = 0;
-    for (int i = 0; i < 160; ++i) probes += odds.is_probe();
+    for (int i = 0; i < 160; ++i) probes += odds.is_sampled();
     CHECK(probes == 10);
   }
 }
@@ -624,44 +624,44 @@
 TEST_CASE("an invocation whose attempts are not likely to be answered is answered some time before its limit", "[core]") {
   constexpr int kLimit = 500, kAllowance = 100, kTick = 1;
   const auto answered_after = [](Facade& f) {  // no attempt is ever answered
-    const Ticket ticket = f.take(kLimit);
+    const InvocationHandle ticket = f.accept(kLimit);
     int ms = 0;
-    while (!f.balancer.answered(ticket)) f.pass(1), ++ms;
+    while (!f.balancer.is_answered(ticket)) f.pass(1), ++ms;
     return ms;
   };
   SECTION("nothing is known of its workload: 0.1 s before, but for one of sixteen") {
-    Facade f(Semantics::redoable, 3, kAllowance * kMs);
-    for (int i = 1; i < policy::AnswerOdds::kOneOf; ++i) CHECK(answered_after(f) == kLimit - kAllowance - kTick);
+    Facade f(Semantics::idempotent, 3, kAllowance * kMs);
+    for (int i = 1; i < policy::AnswerProbability::kSampleInterval; ++i) CHECK(answered_after(f) == kLimit - kAllowance - kTick);
     CHECK(answered_after(f) >= kLimit - 1);
   }
   SECTION("a short limit loses a quarter at the most") {
-    Facade f(Semantics::redoable, 3, kAllowance * kMs);
-    const Ticket ticket = f.take(100);
+    Facade f(Semantics::idempotent, 3, kAllowance * kMs);
+    const InvocationHandle ticket = f.accept(100);
     f.pass(75 - kTick - 1);
-    CHECK_FALSE(f.balancer.answered(ticket));
+    CHECK_FALSE(f.balancer.is_answered(ticket));
     f.pass(1);
-    CHECK(f.balancer.answered(ticket));
+    CHECK(f.balancer.is_answered(ticket));
   }
   SECTION("its workload's answers often take as long: it is waited for to its limit") {
-    Facade f(Semantics::redoable, 3, kAllowance * kMs);
+    Facade f(Semantics::idempotent, 3, kAllowance * kMs);
     for (int i = 0; i < 5; ++i) {
-      const Ticket ticket = f.take(1500);
-      const Step step = f.balancer.pick(ticket);
-      REQUIRE(step.what == Next::hand_off);
+      const InvocationHandle ticket = f.accept(1500);
+      const Instruction step = f.balancer.next_instruction(ticket);
+      REQUIRE(step.what == InstructionKind::hand_off);
       f.pass(420);
       f.balancer.report(ticket, step.number, Ending::succeeded);
     }
     CHECK(answered_after(f) >= kLimit - 1);
   }
   SECTION("a long answer that still comes is waited for, one that stopped is not") {
-    Facade f(Semantics::redoable, 3, kAllowance * kMs);
+    Facade f(Semantics::idempotent, 3, kAllowance * kMs);
     const int last_piece = GENERATE(100, 390);
-    const Ticket ticket = f.take(kLimit);
-    const Step step = f.balancer.pick(ticket);
+    const InvocationHandle ticket = f.accept(kLimit);
+    const Instruction step = f.balancer.next_instruction(ticket);
     f.pass(last_piece);
-    f.balancer.answer_comes(ticket, step.number);
+    f.balancer.answer_progressed(ticket, step.number);
     f.pass(kLimit - kAllowance - last_piece);
-    CHECK(f.balancer.answered(ticket) == (last_piece == 100));
+    CHECK(f.balancer.is_answered(ticket) == (last_piece == 100));
   }
   SECTION("nothing is to be allowed for") {
     Facade f;
--- a/tests/fault_fleet.h
+++ b/tests/fault_fleet.h
@@ -72,7 +72,7 @@
 
   Breaks play() {
     for (auto& node : nodes_) start(*node);
-    const Moment end = Moment::clock::now() + plan_.length;
+    const TimePoint end = TimePoint::clock::now() + plan_.length;
     for (int c = 0; c < plan_.clients; ++c)
       threads_.run([this, c] { client(static_cast<std::uint64_t>(c)); });
     for (auto& node : nodes_)
@@ -82,7 +82,7 @@
     for (auto& node : nodes_)
       if (plan_.turn_ms > plan_.run_ms) threads_.run([this, &node] { run_in_turns(*node); });
     if (plan_.signals) threads_.run([this] { signal_in_series(); });
-    for (std::size_t turn = 0; Moment::clock::now() < end; ++turn) {
+    for (std::size_t turn = 0; TimePoint::clock::now() < end; ++turn) {
       std::this_thread::sleep_for(milliseconds(300));
       if (plan_.restarts) restart(*nodes_[turn % nodes_.size()]);
     }
@@ -129,14 +129,14 @@
       node.told = false;
       ++node.lives;
     }
-    const Moment limit = soon(10000);
-    while (Moment::clock::now() < limit) {
+    const TimePoint limit = soon(10000);
+    while (TimePoint::clock::now() < limit) {
       Fd fd = new_socket();
       Reader in(fd.get());
       Response r;
-      if (connect_to(fd.get(), parse_address(node.address), soon(300)) == Io::done &&
-          write_all(fd.get(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", soon(300)) == Io::done &&
-          read_response(in, soon(300), r) == Got::whole && r.status == 200) {
+      if (connect_to(fd.get(), parse_address(node.address), soon(300)) == IoResult::done &&
+          write_all(fd.get(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", soon(300)) == IoResult::done &&
+          read_response(in, soon(300), r) == ReadResult::whole && r.status == 200) {
         node.takes_new = node.runs = true;
         return;
       }
@@ -158,8 +158,8 @@
 
   // As the platform does it: told, killed at the earliest moment that the terms allow, started again.
   void restart(One& node) {
-    const Moment told = Moment::clock::now();
-    const Moment kill_at = told + milliseconds(plan_.time_limit_ms + 700);
+    const TimePoint told = TimePoint::clock::now();
+    const TimePoint kill_at = told + milliseconds(plan_.time_limit_ms + 700);
     {
       std::lock_guard held(node.lock);
       node.program->signal(SIGTERM);
@@ -193,11 +193,11 @@
   }
   // With the node's lock held.
   void pause(One& node, milliseconds span) {
-    const Moment from = Moment::clock::now();
+    const TimePoint from = TimePoint::clock::now();
     node.program->signal(SIGSTOP);
     std::this_thread::sleep_for(span);
     node.program->signal(SIGCONT);
-    times_.paused(&node, from, Moment::clock::now());
+    times_.paused(&node, from, TimePoint::clock::now());
   }
 
   // These short stops are not counted as pauses at a limit: they excuse no late answer.
@@ -213,9 +213,9 @@
   }
   // Whether the test itself had a processor: for who reads of a late answer on a busy machine.
   void watch_own_gaps() {
-    for (Moment last = Moment::clock::now(); !over_;) {
+    for (TimePoint last = TimePoint::clock::now(); !over_;) {
       std::this_thread::sleep_for(milliseconds(5));
-      const Moment now = Moment::clock::now();
+      const TimePoint now = TimePoint::clock::now();
       if (now - last > milliseconds(25)) times_.paused(nullptr, last, now);
       last = now;
     }
@@ -237,21 +237,21 @@
 
   static std::string send_without_end(const Server::Call& call) {
     write_all(call.fd, "HTTP/1.1 200 OK\r\n\r\n", soon(500));
-    while (!call.server.stopping() && write_all(call.fd, std::string(5000, 'x'), soon(500)) == Io::done)
+    while (!call.server.stopping() && write_all(call.fd, std::string(5000, 'x'), soon(500)) == IoResult::done)
       std::this_thread::sleep_for(milliseconds(20));
     return "";
   }
   std::string backend(const Server::Call& call) {
     const auto head = parse_head(call.head);
     const std::string id(head->value("X-Txn"));
-    times_.attempt(id, Moment::clock::now(), std::stoi(std::string(head->value("X-Remaining-Ms"))));
+    times_.attempt(id, TimePoint::clock::now(), std::stoi(std::string(head->value("X-Remaining-Ms"))));
     std::uint64_t drawn = 0;
     {
       std::lock_guard held(lock_);
       seen_.insert(id);
       drawn = random_();
       if (const auto at = closed_.find(id); at != closed_.end()) {
-        const auto late = std::chrono::duration_cast<milliseconds>(Moment::clock::now() - at->second).count();
+        const auto late = std::chrono::duration_cast<milliseconds>(TimePoint::clock::now() - at->second).count();
         if (late > 100)
           breaks_.begun_late.push_back(id + " came " + std::to_string(late) +
                                        " ms after its client had closed");
@@ -274,7 +274,7 @@
   };
   std::optional<Connection> open(const One& node) {
     Connection c{new_socket(), nullptr, 0};
-    if (connect_to(c.fd.get(), parse_address(node.address), soon(500)) != Io::done) return std::nullopt;
+    if (connect_to(c.fd.get(), parse_address(node.address), soon(500)) != IoResult::done) return std::nullopt;
     c.in = std::make_unique<Reader>(c.fd.get());
     return c;
   }
@@ -315,24 +315,24 @@
         ++resent_;
         continue;
       }
-      const Moment sent = Moment::clock::now();  // its time counts from its last byte
+      const TimePoint sent = TimePoint::clock::now();  // its time counts from its last byte
       times_.sent(id, &node, remaining, workload + (is_new ? " new" : " kept"), sent);
       if (chance(random) < plan_.leaves) return leave(std::move(*connection), id, random);
       Response r;
-      const Got got = read_response(*connection->in, sent + milliseconds(remaining + plan_.patience_ms), r);
-      if (got == Got::whole) return answered(node, kept, std::move(*connection), r, id);
-      if (got == Got::late) times_.over(id, Moment::clock::now(), "not answered");
-      if (got == Got::late && plan_.patience_ms < 500) return;  // counted as late alone: it may yet have come
-      const auto after = std::chrono::duration_cast<milliseconds>(Moment::clock::now() - sent).count();
+      const ReadResult got = read_response(*connection->in, sent + milliseconds(remaining + plan_.patience_ms), r);
+      if (got == ReadResult::whole) return answered(node, kept, std::move(*connection), r, id);
+      if (got == ReadResult::late) times_.over(id, TimePoint::clock::now(), "not answered");
+      if (got == ReadResult::late && plan_.patience_ms < 500) return;  // counted as late alone: it may yet have come
+      const auto after = std::chrono::duration_cast<milliseconds>(TimePoint::clock::now() - sent).count();
       const std::string story = id + " " + workload + " " + std::to_string(remaining) + " ms, " +
                                 (is_new ? "new" : "kept") + " connection, " +
-                                (got == Got::late ? "no answer" : "ended unanswered") + " after " +
+                                (got == ReadResult::late ? "no answer" : "ended unanswered") + " after " +
                                 std::to_string(after) + " ms";
       std::lock_guard held(lock_);
       const bool was_read = seen_.count(id) > 0;
       // Where idle clients fill the descriptors, a new connection may be shut over what nobody has read.
-      const bool turned_back = plan_.crowd > 0 && is_new && !was_read && got != Got::late;
-      if (!turned_back && (got == Got::late || is_new || was_read)) {
+      const bool turned_back = plan_.crowd > 0 && is_new && !was_read && got != ReadResult::late;
+      if (!turned_back && (got == ReadResult::late || is_new || was_read)) {
         breaks_.lost.push_back(story + (was_read ? ", seen at a backend" : ""));
         return;
       }
@@ -341,10 +341,10 @@
   }
   static double chance(std::mt19937_64& random) { return static_cast<double>(random() % 10000) / 10000; }
   bool write(const Connection& connection, const std::string& bytes, std::mt19937_64& random) const {
-    if (chance(random) >= plan_.slow) return write_all(connection.fd.get(), bytes, soon(500)) == Io::done;
+    if (chance(random) >= plan_.slow) return write_all(connection.fd.get(), bytes, soon(500)) == IoResult::done;
     for (std::size_t from = 0; from < bytes.size();) {
       const std::size_t size = 1 + random() % bytes.size();
-      if (write_all(connection.fd.get(), std::string_view(bytes).substr(from, size), soon(500)) != Io::done)
+      if (write_all(connection.fd.get(), std::string_view(bytes).substr(from, size), soon(500)) != IoResult::done)
         return false;
       from += size;
       if (from < bytes.size()) std::this_thread::sleep_for(milliseconds(random() % 130));
@@ -355,11 +355,11 @@
     std::this_thread::sleep_for(milliseconds(random() % 300));
     std::lock_guard held(lock_);
     connection.fd.reset();
-    closed_[id] = Moment::clock::now();
+    closed_[id] = TimePoint::clock::now();
   }
   void answered(One& node, std::map<One*, Connection>& kept, Connection connection, const Response& r,
                 const std::string& id) {
-    const auto came = Moment::clock::now() - since_last_bytes(connection.fd.get()).value_or(milliseconds(0));
+    const auto came = TimePoint::clock::now() - time_since_last_receive(connection.fd.get()).value_or(milliseconds(0));
     times_.over(id, came, "answered " + std::to_string(r.status));
     {
       std::lock_guard held(lock_);
@@ -372,10 +372,10 @@
   void crowd(One& node) {
     std::vector<std::pair<int, Fd>> idle;
     while (!over_) {
-      std::erase_if(idle, [](const auto& one) { return !still_quiet(one.second.get()); });
+      std::erase_if(idle, [](const auto& one) { return !is_reusable(one.second.get()); });
       while (!over_ && idle.size() < static_cast<std::size_t>(plan_.crowd)) {
         Fd fd = new_socket();
-        if (connect_to(fd.get(), parse_address(node.address), soon(20)) != Io::done) break;
+        if (connect_to(fd.get(), parse_address(node.address), soon(20)) != IoResult::done) break;
         idle.emplace_back(0, std::move(fd));
       }
       std::this_thread::sleep_for(milliseconds(10));
@@ -391,7 +391,7 @@
   Breaks breaks_;
   Times times_;
   std::set<std::string> seen_;
-  std::map<std::string, Moment> closed_;
+  std::map<std::string, TimePoint> closed_;
   std::mt19937_64 random_;
   std::atomic<int> resent_{0};
   std::atomic<bool> over_{false};
@@ -399,7 +399,7 @@
   Registry registry_;
   std::vector<std::unique_ptr<Server>> backends_;
   std::vector<std::unique_ptr<One>> nodes_;
-  Threads threads_{64};
+  ThreadPool threads_{64};
 };
 
 inline std::string told(const Breaks& b) {
--- a/tests/fault_times.h
+++ b/tests/fault_times.h
@@ -16,7 +16,7 @@
 
 class Times {
  public:
-  using Moment = std::chrono::steady_clock::time_point;
+  using TimePoint = std::chrono::steady_clock::time_point;
   using milliseconds = std::chrono::milliseconds;
   static constexpr milliseconds kClientWaitsLonger{60};  // than its limit, before it closes its connection
   static constexpr milliseconds kPauseBeforeLimit{
@@ -30,23 +30,23 @@
     std::size_t requests = 0;
   };
 
-  void sent(const std::string& id, const void* node, int limit_ms, std::string what, Moment last_byte) {
+  void sent(const std::string& id, const void* node, int limit_ms, std::string what, TimePoint last_byte) {
     std::lock_guard held(lock_);
     Request& request = requests_[id];
     request.node = node, request.limit = milliseconds(limit_ms), request.what = std::move(what);
     request.last_byte = last_byte;
   }
   // Its client waited for an answer until then; one that left early is not judged by its answer.
-  void over(const std::string& id, Moment at, std::string how) {
+  void over(const std::string& id, TimePoint at, std::string how) {
     std::lock_guard held(lock_);
     requests_[id].over = at, requests_[id].how = std::move(how);
   }
-  void attempt(const std::string& id, Moment at, int told_ms) {
+  void attempt(const std::string& id, TimePoint at, int told_ms) {
     std::lock_guard held(lock_);
     attempts_[id].push_back({at, milliseconds(told_ms)});
   }
   // No node: the test itself.
-  void paused(const void* node, Moment from, Moment to) {
+  void paused(const void* node, TimePoint from, TimePoint to) {
     std::lock_guard held(lock_);
     pauses_[node].emplace_back(from, to);
   }
@@ -67,31 +67,31 @@
     const void* node = nullptr;
     milliseconds limit{0};
     std::string what, how;
-    Moment last_byte, over;
+    TimePoint last_byte, over;
   };
   struct Attempt {
-    Moment at;
+    TimePoint at;
     milliseconds told;
   };
 
-  static auto ms(Moment::duration span) { return std::chrono::duration_cast<milliseconds>(span).count(); }
+  static auto ms(TimePoint::duration span) { return std::chrono::duration_cast<milliseconds>(span).count(); }
   // Seconds of Unix time, as in the nodes' logs.
-  static double in_logs(Moment when) {
-    const auto ago = std::chrono::duration_cast<std::chrono::microseconds>(Moment::clock::now() - when);
+  static double in_logs(TimePoint when) {
+    const auto ago = std::chrono::duration_cast<std::chrono::microseconds>(TimePoint::clock::now() - when);
     const auto unix_time = std::chrono::system_clock::now().time_since_epoch() - ago;
     return std::chrono::duration<double>(unix_time).count();
   }
   bool paused_around_limit(const Request& request) const {
     const auto pauses = pauses_.find(request.node);
     if (pauses == pauses_.end()) return false;
-    const Moment limit = request.last_byte + request.limit;
+    const TimePoint limit = request.last_byte + request.limit;
     for (const auto& [from, to] : pauses->second)
       if (to >= limit - kPauseBeforeLimit && from <= limit + kClientWaitsLonger) return true;
     return false;
   }
   // For how long at most the test itself did not run meanwhile: the machine may have been busy. It excuses
   // nothing.
-  std::string own_gap(Moment from, Moment to) const {
+  std::string own_gap(TimePoint from, TimePoint to) const {
     milliseconds longest{0};
     const auto pauses = pauses_.find(nullptr);
     for (std::size_t i = 0; pauses != pauses_.end() && i < pauses->second.size(); ++i)
@@ -105,7 +105,7 @@
     return fmt::format("{} ms", ms(attempts->second.front().at - request.last_byte));
   }
   void judge_answer(const std::string& id, const Request& request, Verdict& verdict) const {
-    if (request.over == Moment()) return;
+    if (request.over == TimePoint()) return;
     const auto late_by = request.over - request.last_byte - request.limit;
     if (late_by <= kClientWaitsLonger) return;
     const bool at_pause = paused_around_limit(request);
@@ -118,7 +118,7 @@
   }
   void judge_told(const std::string& id, const Request& request, Verdict& verdict) const {
     const auto attempts = attempts_.find(id);
-    if (attempts == attempts_.end() || request.last_byte == Moment()) return;
+    if (attempts == attempts_.end() || request.last_byte == TimePoint()) return;
     for (const Attempt& attempt : attempts->second) {
       const auto left = request.last_byte + request.limit - attempt.at;
       if (attempt.told > left + kToldSlack)
@@ -132,7 +132,7 @@
   std::mutex lock_;
   std::map<std::string, Request> requests_;
   std::map<std::string, std::vector<Attempt>> attempts_;
-  std::map<const void*, std::vector<std::pair<Moment, Moment>>> pauses_;
+  std::map<const void*, std::vector<std::pair<TimePoint, TimePoint>>> pauses_;
 };
 
 }  // namespace fault_fleet
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 // How long after `sent` the bytes of the answer had come, as its client's system has noted.
-milliseconds answered_after(Visitor& visitor, Moment sent) {
+milliseconds answered_after(Visitor& visitor, TimePoint sent) {
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
-  return std::chrono::duration_cast<milliseconds>(Moment::clock::now() - visitor.since_last_byte() - sent);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
+  return std::chrono::duration_cast<milliseconds>(TimePoint::clock::now() - visitor.since_last_byte() - sent);
 }
 
 // The same for a request at whose limit the process stands still.
 milliseconds answered_around_pause(FaultyNode& node, int limit) {
   Visitor visitor(node.address());
   visitor.send(request("view", "x", limit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   // It ends later than the client waits, wherever in these 0.15 s the limit lies.
   std::this_thread::sleep_until(sent + milliseconds(limit) - kHoldUp / 2);
   node.program().signal(SIGSTOP);
@@ -41,7 +41,7 @@
       ::setsockopt(call.fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
       return std::string();
     }
-    while (then == Then::drip && !call.server.stopping() && write_all(call.fd, "drips", soon(100)) == Io::done)
+    while (then == Then::drip && !call.server.stopping() && write_all(call.fd, "drips", soon(100)) == IoResult::done)
       std::this_thread::sleep_for(milliseconds(30));
     return no_news(call);
   };
@@ -111,9 +111,9 @@
     visitors.push_back(std::make_unique<Visitor>(node.address()));
     visitors.back()->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     Response r;
-    REQUIRE(visitors.back()->receive(r) == Got::whole);
+    REQUIRE(visitors.back()->receive(r) == ReadResult::whole);
   }
-  const Moment told = Moment::clock::now();
+  const TimePoint told = TimePoint::clock::now();
   node.program().signal(SIGTERM);
   // Clients use their connections as long as these stay open; the backend answers none of it.
   std::this_thread::sleep_until(told + milliseconds(kTimeLimit - 300));
@@ -136,14 +136,14 @@
     visitors.push_back(std::make_unique<Visitor>(node.address()));
     visitors.back()->send(request("view", "x", 3 * kTimeLimit));
   }
-  const Moment told = Moment::clock::now();
+  const TimePoint told = TimePoint::clock::now();
   node.program().signal(SIGTERM);
   std::this_thread::sleep_until(told + milliseconds(800));  // no new connections are to be expected any more
   node.turn_off();
   int unanswered = 0;
   for (auto& visitor : visitors) {
     Response r;
-    if (visitor->receive(r) != Got::whole) ++unanswered;
+    if (visitor->receive(r) != ReadResult::whole) ++unanswered;
   }
   CHECK(unanswered == 0);
   visitors.clear();
@@ -182,7 +182,7 @@
   for (std::size_t i = 0; i <= kHeld; ++i)
     visitors[i]->send(request("pay", "x", i < kHeld ? 5 * kTimeLimit : kTimeLimit / 2));
   while (node.backend().calls() <= static_cast<int>(kHeld)) std::this_thread::yield();
-  const Moment told = Moment::clock::now();
+  const TimePoint told = TimePoint::clock::now();
   node.program().signal(SIGTERM);
   CHECK(unanswered_at_kill(node, told, visitors) == 0);
 }
@@ -195,7 +195,7 @@
   Visitor visitor(node.address());
   node.program().signal(SIGSTOP);
   visitor.send(request("view", "x", limit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + kHoldUp);
   node.program().signal(SIGCONT);
   CHECK(answered_after(visitor, sent) <= milliseconds(limit) + kClientSlack);
@@ -230,14 +230,14 @@
     visitor.emplace(node.address());
     visitor->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     Response r;
-    REQUIRE(visitor->receive(r) == Got::whole);
+    REQUIRE(visitor->receive(r) == ReadResult::whole);
     std::this_thread::sleep_for(milliseconds(100));  // it rests: what comes next follows on no answer
   }
   node.turn_on();
   std::this_thread::sleep_for(milliseconds(40));  // the calls that were under way are over
   if (!visitor) visitor.emplace(node.address());
   visitor->send(request("view", "x", kLimit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + kWait);
   node.turn_off();
   CHECK(answered_after(*visitor, sent) <= milliseconds(kLimit) + kClientSlack);
@@ -260,7 +260,7 @@
   std::this_thread::sleep_for(milliseconds(40));  // a wait that began before has ended
   if (!visitor) visitor.emplace(node.address());
   visitor->send(request("view", "x", 200));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + milliseconds(140));
   node.turn_off();
   CHECK(answered_after(*visitor, sent) <= milliseconds(200) + kClientSlack);
@@ -277,7 +277,7 @@
   std::this_thread::sleep_for(milliseconds(70));
   node.turn_on();
   visitor.send(whole.substr(30));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + milliseconds(140));
   node.turn_off();
   CHECK(answered_after(visitor, sent) <= milliseconds(200) + kClientSlack);
@@ -307,7 +307,7 @@
   else node.turn_on(), std::this_thread::sleep_for(milliseconds(40));  // the calls that were under way are over
   if (!visitor) visitor.emplace(node.address());
   visitor->send(request("view", "x", kLimit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + kWait);
   if (is_stopped) node.program().signal(SIGCONT);
   else node.turn_off();
@@ -334,7 +334,7 @@
   std::this_thread::sleep_for(milliseconds(40));  // the calls that were under way are over
   if (!visitor) visitor.emplace(node.address());
   visitor->send(request("view", "x", kLimit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + kWait);
   node.turn_off();
   CHECK(answered_after(*visitor, sent) <= milliseconds(kLimit) + kClientSlack);
@@ -357,15 +357,15 @@
   const int small_buffer = 4096, small_segment = 536;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &small_buffer, sizeof small_buffer);
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_MAXSEG, &small_segment, sizeof small_segment);
-  REQUIRE(connect_to(fd.get(), parse_address(node.address()), soon()) == Io::done);
-  REQUIRE(write_all(fd.get(), request("view", "", 900), soon()) == Io::done);
+  REQUIRE(connect_to(fd.get(), parse_address(node.address()), soon()) == IoResult::done);
+  REQUIRE(write_all(fd.get(), request("view", "", 900), soon()) == IoResult::done);
   std::this_thread::sleep_for(milliseconds(600));
   Reader in(fd.get());
   Response first, second;
-  REQUIRE(read_response(in, soon(), first, kSize) == Got::whole);
+  REQUIRE(read_response(in, soon(), first, kSize) == ReadResult::whole);
   REQUIRE(first.status == 200);
-  REQUIRE(write_all(fd.get(), request("view", "", 400), soon()) == Io::done);
-  REQUIRE(read_response(in, soon(), second, kSize) == Got::whole);
+  REQUIRE(write_all(fd.get(), request("view", "", 400), soon()) == IoResult::done);
+  REQUIRE(read_response(in, soon(), second, kSize) == ReadResult::whole);
   CHECK(second.status == 200);
 }
 
@@ -400,7 +400,7 @@
       milliseconds(200));  // all of that has been passed on: the last piece is waited for
   node.turn_on();
   visitor.send(std::string(last_piece));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + kWait);
   node.turn_off();
   CHECK(answered_after(visitor, sent) <= milliseconds(kLimit) + kClientSlack);
@@ -420,7 +420,7 @@
   visitor.send(whole.substr(whole.size() - 20, 10));
   std::this_thread::sleep_for(milliseconds(20));  // it is being passed on, and the last piece comes meanwhile
   visitor.send(whole.substr(whole.size() - 10));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::this_thread::sleep_until(sent + kWait);
   node.turn_off();
   CHECK(answered_after(visitor, sent) <= milliseconds(kLimit) + kClientSlack);
@@ -454,7 +454,7 @@
   Visitor visitor(node.address());
   visitor.send(request("order", std::string(kSize, 'x'), kLimit));
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 200);
 }
 
@@ -482,11 +482,11 @@
     const int limit = GENERATE(200, 700);
     Visitor visitor(node.address());
     visitor.send(request("view", "", limit));
-    const Moment sent = Moment::clock::now();
+    const TimePoint sent = TimePoint::clock::now();
     Response r;
-    REQUIRE(visitor.receive(r) == Got::whole);
+    REQUIRE(visitor.receive(r) == ReadResult::whole);
     CHECK(r.status == 503);
-    CHECK(Moment::clock::now() - sent <= milliseconds(limit) + kClientSlack);
+    CHECK(TimePoint::clock::now() - sent <= milliseconds(limit) + kClientSlack);
   }
   SECTION("and keeps no process from ending before it is killed") {
     std::vector<std::unique_ptr<Visitor>> visitors;
@@ -497,7 +497,7 @@
     CHECK(node.program().exit_code(kKill) == 0);
     for (auto& visitor : visitors) {
       Response r;
-      CHECK(visitor->receive(r) == Got::whole);
+      CHECK(visitor->receive(r) == ReadResult::whole);
     }
   }
 }
@@ -513,20 +513,20 @@
   const std::string head = "HTTP/1.1 200 OK\r\n" + (in_chunks ? std::string("Transfer-Encoding: chunked")
                                                               : "Content-Length: " + std::to_string(kWhole)) + "\r\n\r\n";
   FaultyNode node("", [&](const Server::Call& call) {
-    const Moment stops = soon(limit * 4 / 5);
+    const TimePoint stops = soon(limit * 4 / 5);
     write_all(call.fd, head, soon());
-    while (Moment::clock::now() < stops && !call.server.stopping() && write_all(call.fd, bytes, soon(100)) == Io::done)
+    while (TimePoint::clock::now() < stops && !call.server.stopping() && write_all(call.fd, bytes, soon(100)) == IoResult::done)
       std::this_thread::sleep_for(milliseconds(20));
     return no_news(call);
   });
   REQUIRE(node.comes_up());
   Visitor visitor(node.address());
   visitor.send(request("view", "", limit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 503);
-  CHECK(Moment::clock::now() - sent <= milliseconds(limit) + kClientSlack);
+  CHECK(TimePoint::clock::now() - sent <= milliseconds(limit) + kClientSlack);
 }
 
 // Guards against an answer that is passed on since it still comes, and does not end: a 200, and no end by the client's limit.
@@ -539,18 +539,18 @@
   const std::string bytes = framing.starts_with("Transfer") ? fmt::format("{:x}\r\n{}\r\n", kPiece, piece) : piece;
   FaultyNode node("", [&](const Server::Call& call) {
     write_all(call.fd, "HTTP/1.1 200 OK\r\n" + framing + "\r\n", soon());
-    while (!call.server.stopping() && write_all(call.fd, bytes, soon(100)) == Io::done)
+    while (!call.server.stopping() && write_all(call.fd, bytes, soon(100)) == IoResult::done)
       std::this_thread::sleep_for(milliseconds(20));
     return std::string();
   });
   REQUIRE(node.comes_up());
   Visitor visitor(node.address());
   visitor.send(request("view", "", limit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 503);
-  CHECK(Moment::clock::now() - sent <= milliseconds(limit) + kClientSlack);
+  CHECK(TimePoint::clock::now() - sent <= milliseconds(limit) + kClientSlack);
 }
 
 // Guards against the same where the request must not be repeated.
@@ -561,11 +561,11 @@
   REQUIRE(node.comes_up());
   Visitor visitor(node.address());
   visitor.send(request(workload, "x", kLimit));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 502);
-  CHECK(Moment::clock::now() - sent <= milliseconds(kLimit) + kClientSlack);
+  CHECK(TimePoint::clock::now() - sent <= milliseconds(kLimit) + kClientSlack);
 }
 
 // Guards against the opposite: what is slow and comes whole in its request's time is served.
@@ -576,9 +576,9 @@
   const int first_half = limit - static_cast<int>(kPieces) * kEvery * 13 / 10;
   FaultyNode node("", [&](const Server::Call& call) {
     const std::string begin(100000, 'x');
-    write_all(call.fd, response_head(200, "", begin.size() + kPiece * kPieces, true) + begin, soon());
+    write_all(call.fd, format_response_head(200, "", begin.size() + kPiece * kPieces, true) + begin, soon());
     std::this_thread::sleep_for(milliseconds(first_half));
-    for (std::size_t i = 0; i < kPieces && write_all(call.fd, std::string(kPiece, 'x'), soon(100)) == Io::done; ++i)
+    for (std::size_t i = 0; i < kPieces && write_all(call.fd, std::string(kPiece, 'x'), soon(100)) == IoResult::done; ++i)
       std::this_thread::sleep_for(milliseconds(kEvery));
     return std::string();
   });
@@ -586,7 +586,7 @@
   Visitor visitor(node.address());
   visitor.send(request("view", "", limit));
   Response r;
-  REQUIRE(visitor.receive(r, 100000 + kPiece * kPieces) == Got::whole);
+  REQUIRE(visitor.receive(r, 100000 + kPiece * kPieces) == ReadResult::whole);
   CHECK(r.status == 200);
   CHECK(r.body.size() == 100000 + kPiece * kPieces);
 }
@@ -595,17 +595,17 @@
 TEST_CASE("a long answer whose request's limit is far reaches its client within 2 s, and goes on as it comes", "[faults]") {
   constexpr std::size_t kPiece = 5000, kPieces = 130;
   FaultyNode node("", [&](const Server::Call& call) {
-    write_all(call.fd, response_head(200, "", kPiece * kPieces, true), soon());
-    for (std::size_t i = 0; i < kPieces && write_all(call.fd, std::string(kPiece, 'x'), soon(100)) == Io::done; ++i)
+    write_all(call.fd, format_response_head(200, "", kPiece * kPieces, true), soon());
+    for (std::size_t i = 0; i < kPieces && write_all(call.fd, std::string(kPiece, 'x'), soon(100)) == IoResult::done; ++i)
       std::this_thread::sleep_for(milliseconds(20));
     return std::string();
   });
   REQUIRE(node.comes_up());
   Visitor visitor(node.address());
   visitor.send(request("view", "", 20000));
-  const Moment sent = Moment::clock::now();
+  const TimePoint sent = TimePoint::clock::now();
   std::string bytes = visitor.word();
-  CHECK(Moment::clock::now() - sent < milliseconds(2000));
+  CHECK(TimePoint::clock::now() - sent < milliseconds(2000));
   while (bytes.size() < kPiece * kPieces) bytes += visitor.word();
   CHECK(bytes.starts_with("HTTP/1.1 200 "));
 }
--- a/tests/faulty_node.h
+++ b/tests/faulty_node.h
@@ -48,14 +48,14 @@
   void turn_on() { switch_.write(""); }
   void turn_off() { std::filesystem::remove(switch_.path()); }
   bool comes_up() const {
-    for (const Moment limit = soon(10000); Moment::clock::now() < limit;
+    for (const TimePoint limit = soon(10000); TimePoint::clock::now() < limit;
          std::this_thread::sleep_for(milliseconds(5))) {
       const Fd fd = new_socket();
       Reader in(fd.get());
       Response r;
-      if (connect_to(fd.get(), parse_address(address_), soon(300)) == Io::done &&
-          write_all(fd.get(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", soon(300)) == Io::done &&
-          read_response(in, soon(300), r) == Got::whole && r.status == 200)
+      if (connect_to(fd.get(), parse_address(address_), soon(300)) == IoResult::done &&
+          write_all(fd.get(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", soon(300)) == IoResult::done &&
+          read_response(in, soon(300), r) == ReadResult::whole && r.status == 200)
         return true;
     }
     return false;
@@ -73,13 +73,13 @@
 };
 
 // Killed as early as the terms allow; how many of these got no answer before.
-inline int unanswered_at_kill(FaultyNode& node, Moment told, const std::vector<std::unique_ptr<Visitor>>& visitors) {
+inline int unanswered_at_kill(FaultyNode& node, TimePoint told, const std::vector<std::unique_ptr<Visitor>>& visitors) {
   std::this_thread::sleep_until(told + kKill);
   node.program().signal(SIGKILL);
   node.program().exit_code();
   return static_cast<int>(std::count_if(visitors.begin(), visitors.end(), [](const auto& visitor) {
     Response r;
-    return visitor->receive(r) != Got::whole;
+    return visitor->receive(r) != ReadResult::whole;
   }));
 }
 
@@ -90,9 +90,9 @@
     const Fd fd = new_socket();
     Reader in(fd.get());
     Response r;
-    if (connect_to(fd.get(), parse_address(node.address()), soon()) != Io::done ||
-        write_all(fd.get(), request("view", "x", kTimeLimit), soon()) != Io::done ||
-        read_response(in, soon(kTimeLimit + 500), r) != Got::whole)
+    if (connect_to(fd.get(), parse_address(node.address()), soon()) != IoResult::done ||
+        write_all(fd.get(), request("view", "x", kTimeLimit), soon()) != IoResult::done ||
+        read_response(in, soon(kTimeLimit + 500), r) != ReadResult::whole)
       ++unanswered;
   }
   return unanswered;
@@ -100,11 +100,11 @@
 inline int unanswered_on_one(const FaultyNode& node, int requests) {
   const Fd fd = new_socket();
   Reader in(fd.get());
-  if (connect_to(fd.get(), parse_address(node.address()), soon()) != Io::done) return requests;
+  if (connect_to(fd.get(), parse_address(node.address()), soon()) != IoResult::done) return requests;
   for (int i = 0; i < requests; ++i) {
     Response r;
-    if (write_all(fd.get(), request("view", "x", kTimeLimit), soon()) != Io::done ||
-        read_response(in, soon(kTimeLimit + 500), r) != Got::whole || !r.keep_alive)
+    if (write_all(fd.get(), request("view", "x", kTimeLimit), soon()) != IoResult::done ||
+        read_response(in, soon(kTimeLimit + 500), r) != ReadResult::whole || !r.keep_alive)
       return requests - i;
   }
   return 0;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -11,13 +11,13 @@
     int ends[2];
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
     here = Fd(ends[0]), there = Fd(ends[1]);
-    REQUIRE(write_all(there.get(), bytes, soon()) == Io::done);
+    REQUIRE(write_all(there.get(), bytes, soon()) == IoResult::done);
     if (close) there.reset();
   }
 };
 
-std::optional<Request> read_whole(Reader& in, Moment limit, BadRequest& bad) {
-  auto request = read_request(in, limit, bad);
+std::optional<Request> read_whole(Reader& in, TimePoint limit, BadRequest& bad) {
+  auto request = read_request_head(in, limit, bad);
   if (request && !read_body(in, *request, bad, [=] { return limit; }, [](std::size_t) { return true; }))
     request.reset();
   return request;
@@ -59,7 +59,7 @@
       {"POST /view HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
       {"POST /view HTTP/1.1\r\n" + kHeaders + "Content-Length: +3\r\n\r\nabc", 400},
       {"POST /view HTTP/1.1\r\n" + kHeaders + "Content-Length: 33554433\r\n\r\n", 413},
-      {"GET /view HTTP/1.1\r\nX-Long: " + std::string(kMostHead, 'a'), 431},
+      {"GET /view HTTP/1.1\r\nX-Long: " + std::string(kMaxHeadBytes, 'a'), 431},
   }));
   Pipe p(bytes);
   Reader in(p.here.get());
@@ -90,10 +90,10 @@
   CHECK(r->tenant == "acme");
   CHECK(r->remaining_ms == 480);
   CHECK(r->hint_micros == 1500.5);
-  CHECK(r->labelled);
-  CHECK(r->client_repeat);
+  CHECK(r->has_idempotency_key);
+  CHECK(r->is_client_retry);
   CHECK_FALSE(r->keep_alive);
-  CHECK(request_head(*r, 479) + r->body ==
+  CHECK(format_request_head(*r, 479) + r->body ==
         "POST /order/a%20b?x=1&y HTTP/1.1\r\nHost:  h \r\nx-TXN: t1\r\nX-Org: acme\r\nIdempotency-Key: k\r\n"
         "X-Resent: 1\r\nX-Estimate: 1500.5\r\nX-Odd: a,  b\r\nContent-Length: 4\r\nX-Remaining-Ms: "
         "479\r\n\r\na\r\nb");
@@ -103,48 +103,48 @@
 }
 
 TEST_CASE("answers in every framing, and what is wrong with them", "[http]") {
-  const auto [bytes, got, body] = GENERATE(table<std::string, Got, std::string>({
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", Got::whole, "abc"},
-      {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", Got::whole, "abc"},
+  const auto [bytes, got, body] = GENERATE(table<std::string, ReadResult, std::string>({
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", ReadResult::whole, "abc"},
+      {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", ReadResult::whole, "abc"},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nX-T: 1\r\n\r\n",
-       Got::whole, "abc"},
-      {"HTTP/1.0 200 OK\r\n\r\nabc", Got::whole, "abc"},
-      {"HTTP/1.1 204 No Content\r\n\r\n", Got::whole, ""},
-      {"", Got::nothing, ""},
-      {"HTTP/1.1 200", Got::cut, ""},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", Got::cut, ""},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", Got::cut, ""},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na", Got::cut, ""},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", Got::malformed, ""},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", Got::malformed, ""},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", Got::malformed, ""},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", Got::malformed, ""},
-      {"SSH-2.0-x\r\n\r\n", Got::malformed, ""},
-      {"HTTP/1.1 2000 OK\r\n\r\n", Got::malformed, ""},
-      {"HTTP/1.1 101 Switch\r\n\r\n", Got::malformed, ""},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", Got::too_large, ""},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffff0\r\n", Got::too_large, ""},
-      {"HTTP/1.1 200 OK\r\n\r\n" + std::string(kMostBody + 1, 'a'), Got::too_large, ""},
+       ReadResult::whole, "abc"},
+      {"HTTP/1.0 200 OK\r\n\r\nabc", ReadResult::whole, "abc"},
+      {"HTTP/1.1 204 No Content\r\n\r\n", ReadResult::whole, ""},
+      {"", ReadResult::nothing, ""},
+      {"HTTP/1.1 200", ReadResult::cut, ""},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", ReadResult::cut, ""},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", ReadResult::cut, ""},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na", ReadResult::cut, ""},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", ReadResult::malformed, ""},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", ReadResult::malformed, ""},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", ReadResult::malformed, ""},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", ReadResult::malformed, ""},
+      {"SSH-2.0-x\r\n\r\n", ReadResult::malformed, ""},
+      {"HTTP/1.1 2000 OK\r\n\r\n", ReadResult::malformed, ""},
+      {"HTTP/1.1 101 Switch\r\n\r\n", ReadResult::malformed, ""},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", ReadResult::too_large, ""},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffff0\r\n", ReadResult::too_large, ""},
+      {"HTTP/1.1 200 OK\r\n\r\n" + std::string(kMaxShortAnswerBytes + 1, 'a'), ReadResult::too_large, ""},
   }));
   Pipe p(bytes);
   Reader in(p.here.get());
   Response r;
   INFO(bytes.substr(0, 200));
   CHECK(read_response(in, soon(), r) == got);
-  CHECK((got != Got::whole || r.body == body));
+  CHECK((got != ReadResult::whole || r.body == body));
 }
 
 TEST_CASE("an answer that is spoilt is told from its first bytes, not at the time limit", "[http]") {
   // The connection stays open, and nothing more comes on it.
-  const auto [bytes, got] = GENERATE(table<std::string, Got>({
-      {std::string("\0\x17\xf3noise", 8), Got::malformed},
-      {"HTTQ", Got::malformed},
-      {"HTTP/1.1 200 OK\nContent-Length: 3\n\nabc", Got::malformed},
-      {"HTTP/1.1 200 OK\r\nX-Endless: " + std::string(kMostHead, 'a'), Got::too_large},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", Got::too_large},
-      {"HTTP/1.1 200 OK\r\nContent-Le", Got::stalled},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Got::stalled},
-      {"HTTP/1.1 200 OK\r\n\r\nabc", Got::stalled},
+  const auto [bytes, got] = GENERATE(table<std::string, ReadResult>({
+      {std::string("\0\x17\xf3noise", 8), ReadResult::malformed},
+      {"HTTQ", ReadResult::malformed},
+      {"HTTP/1.1 200 OK\nContent-Length: 3\n\nabc", ReadResult::malformed},
+      {"HTTP/1.1 200 OK\r\nX-Endless: " + std::string(kMaxHeadBytes, 'a'), ReadResult::too_large},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", ReadResult::too_large},
+      {"HTTP/1.1 200 OK\r\nContent-Le", ReadResult::stalled},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", ReadResult::stalled},
+      {"HTTP/1.1 200 OK\r\n\r\nabc", ReadResult::stalled},
   }));
   Pipe p(bytes, false);
   Reader in(p.here.get(), milliseconds(30));
@@ -161,12 +161,12 @@
   std::string many;
   for (int i = 0; i < 20; ++i) many += interim;
   for (const auto& [bytes, got] :
-       {std::pair(interim + answer, Got::whole), std::pair(many + answer, Got::malformed)}) {
+       {std::pair(interim + answer, ReadResult::whole), std::pair(many + answer, ReadResult::malformed)}) {
     Pipe p(bytes);
     Reader in(p.here.get());
     Response r;
     CHECK(read_response(in, soon(), r) == got);
-    CHECK((got != Got::whole || r.body == "abc"));
+    CHECK((got != ReadResult::whole || r.body == "abc"));
   }
 }
 
@@ -180,7 +180,7 @@
   Pipe p(bytes);
   Reader in(p.here.get());
   Response r;
-  REQUIRE(read_response(in, soon(), r) == Got::whole);
+  REQUIRE(read_response(in, soon(), r) == ReadResult::whole);
   CHECK(r.turned_away == turned_away);
 }
 
@@ -188,7 +188,7 @@
   const Config c = config(list(3, true, {}), "127.0.0.1:1");
   CHECK(c.settings.seed == 0x2a);
   CHECK(c.settings.workloads.size() == 3);
-  CHECK(c.settings.workloads[1].semantics == Semantics::labelled);
+  CHECK(c.settings.workloads[1].semantics == Semantics::idempotency_keyed);
   CHECK(c.settings.connect_timeout == 2500);
   CHECK(c.names.zones.size() == 1);
   CHECK_THROWS_AS(read_config("{"), Malformed);
@@ -208,10 +208,10 @@
   std::string got;
   for (const char c : bytes) {
     REQUIRE_FALSE(body.whole());
-    while (body.next(in, Moment::clock::now(), got) == Got::whole) {
+    while (body.next(in, TimePoint::clock::now(), got) == ReadResult::whole) {
     }
-    REQUIRE(write_all(there.get(), std::string_view(&c, 1), soon()) == Io::done);
+    REQUIRE(write_all(there.get(), std::string_view(&c, 1), soon()) == IoResult::done);
   }
-  while (!body.whole()) REQUIRE(body.next(in, soon(), got) == Got::whole);
+  while (!body.whole()) REQUIRE(body.next(in, soon(), got) == ReadResult::whole);
   CHECK(got == "abcde");
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -92,12 +92,12 @@
                                  Hello{1, true, "n", "z"}, Welcome{1, 2, true, true, 100000}, Statement{1, Statement::What::vouches, 900, 1, 1, "a", "b"},
                                  Heard{1}, Prepare{1, 2}, Promise{1, 2, 3, 4, 5}, Offer{0, 9, 9, 9, 900000, "zzz"}, Offered{1, 2, 3, true},
                                  Commit{9, 9}, Fetch{true, 0, 1, 1U << 31}, Piece{1, 70000, 5, "abc", true}};
-  Tenths now = 2000;
+  TenthsOfMs now = 2000;
   for (int round = 0; round < 40000; ++round) {
     std::string bytes = encode(Message{{7, 1 + static_cast<Index>(random() % 8), 10 + random() % 3, 0, random() % 4, 0}, bodies[random() % bodies.size()]});
     for (std::uint64_t n = random() % 4; n > 0; --n) bytes[random() % bytes.size()] = static_cast<char>(random());
     if (random() % 5 == 0) bytes.resize(random() % (bytes.size() + 1));
-    now += static_cast<Tenths>(random() % 20);
+    now += static_cast<TenthsOfMs>(random() % 20);
     for (const Send& s : e.decide(now, Came{1 + static_cast<Index>(random() % 8), bytes}).sends) REQUIRE(s.bytes.size() <= kMostDatagram);
     if (round % 50 == 0)
       for (const Send& s : e.decide(now, Pulse{}).sends) REQUIRE(s.bytes.size() <= kMostDatagram);
@@ -111,12 +111,12 @@
   CHECK(p.part(0, 0, 10) == Approx(0.05));
   p.installed(1000, 70, true, 10);
   CHECK(p.part(1000, 1000, 10) == Approx(0.05));  // what it takes may still be in use by those who had it
-  const Tenths later = 1000 + sharing.hold;
+  const TenthsOfMs later = 1000 + sharing.hold;
   CHECK(p.part(later, later, 10) == Approx(0.1));
   CHECK(p.part(later + sharing.lease, later, 10) == Approx(0.05));
   p.installed(later, 71, true, 5);
   CHECK(p.part(later + 1, later + 1, 10) == Approx(0.1));  // those who are out may not know it yet
-  const Tenths freed = later + sharing.hold;
+  const TenthsOfMs freed = later + sharing.hold;
   CHECK(p.part(freed, freed, 10) == Approx(0.15));
   p.installed(freed + 1, 72, true, 10);
   CHECK(p.part(freed + 1, freed + 1, 10) == Approx(0.1));  // more: at once
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -28,11 +28,11 @@
   const Config c = read_config(to.text);
   CHECK(c.listen == "127.0.0.1:8081");
   CHECK(c.settings.nodes == 500);
-  CHECK_FALSE(c.settings.must_ask);
-  CHECK_FALSE(c.settings.second_copies);
+  CHECK_FALSE(c.settings.is_discovery_on_request);
+  CHECK_FALSE(c.settings.may_hedge);
   const Config before = read_config(old_file());
   CHECK(c.settings.workloads == before.settings.workloads);
-  CHECK(c.settings.fall_multiple == before.settings.fall_multiple);
+  CHECK(c.settings.slow_start_multiple == before.settings.slow_start_multiple);
   CHECK(c.descriptors == before.descriptors);
   CHECK(c.unused.size() == 2);  // probes and streams, which sockets don't have
   for (const char* own : {"name", "seed", "known", "settings.rules.ask-within"}) CHECK(has(to.left, own));
@@ -80,7 +80,7 @@
                     "bounds.streams-per-conn is not over 0");
   CHECK_THROWS_WITH(read_config(with("\"tick\"", "\"costs\":{\"cross-zone\":-1},\"tick\"")),
                     "costs.cross-zone is below 0");
-  CHECK(read_config(with("\"tick\"", "\"costs\":{\"handshake\":0.5},\"tick\"")).settings.connect_price == 0.5);
+  CHECK(read_config(with("\"tick\"", "\"costs\":{\"handshake\":0.5},\"tick\"")).settings.connect_cost == 0.5);
   CHECK_THROWS_WITH(read_config(with("\"tick\"", "\"report\":{\"how\":\"loudly\"},\"tick\"")),
                     "unknown report.how 'loudly'");
   CHECK_THROWS_WITH(read_config(with("on_request", "sometimes")), "unknown discovery 'sometimes'");
@@ -101,11 +101,11 @@
   Node& node = *made;
   node.start();
   Response r;
-  const Moment end = soon();
+  const TimePoint end = soon();
   do {
     Visitor visitor(node);
     r = visitor.ask(request("view"));
-  } while (r.status != 200 && Moment::clock::now() < end);
+  } while (r.status != 200 && TimePoint::clock::now() < end);
   CHECK(r.status == 200);
   CHECK(r.body == "here");
   CHECK(calls.load() >= 2);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,16 +12,16 @@
 
 struct OneExchange {
   Counters counters;
-  Ledger ledger;
-  Budget budget{4, 4, 4, ledger};
-  Bytes bytes{16 << 20, ledger};
-  Pool pool{budget, std::chrono::seconds(9), resting({})};
+  SharedUsage shared_usage;
+  ConnectionBudget budget{4, 4, 4, shared_usage};
+  BodyBytesBudget bytes{16 << 20, shared_usage};
+  ConnectionPool pool{budget, std::chrono::seconds(9), resting({})};
   std::shared_ptr<Exchange> exchange = fresh();
   std::shared_ptr<Exchange> fresh() { return std::make_shared<Exchange>(pool, counters, bytes, milliseconds(250)); }
-  Ended run(const std::string& address, int ms = 10000, const std::string& body = "") {
+  ExchangeResult run(const std::string& address, int ms = 10000, const std::string& body = "") {
     Request r;
     r.method = "POST", r.target = "/view", r.body = body;
-    r.kept = "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    r.forwarded_headers = "Content-Length: " + std::to_string(body.size()) + "\r\n";
     return exchange->run(r, {0, parse_address(address)}, soon(ms));
   }
 };
@@ -57,14 +57,14 @@
 }  // namespace
 
 TEST_CASE("each way in which a hand-off ends is told from the others", "[net]") {
-  const auto [answer, ended] = GENERATE(table<std::string, Ended>({
-      {ok("fine"), Ended::answered},
-      {"HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno", Ended::answered_error},
-      {"HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n", Ended::answered_error},
-      {"HTTP/1.1 503 Oh\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", Ended::turned_away},
-      {"", Ended::cut_after_sent},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Ended::answer_cut},
-      {"what is this\r\n\r\n", Ended::answer_malformed},
+  const auto [answer, ended] = GENERATE(table<std::string, ExchangeResult>({
+      {ok("fine"), ExchangeResult::answered},
+      {"HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno", ExchangeResult::answered_error},
+      {"HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n", ExchangeResult::answered_error},
+      {"HTTP/1.1 503 Oh\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", ExchangeResult::turned_away},
+      {"", ExchangeResult::cut_after_sent},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", ExchangeResult::answer_cut},
+      {"what is this\r\n\r\n", ExchangeResult::answer_malformed},
   }));
   Server backend(always(answer));
   OneExchange one;
@@ -74,15 +74,15 @@
 
 TEST_CASE("a backend that is not there, or says nothing, ends at a limit", "[net]") {
   OneExchange one;
-  CHECK(one.run(closed_port()) == Ended::not_connected);
+  CHECK(one.run(closed_port()) == ExchangeResult::not_connected);
   Server silent(no_news);
   one.exchange = one.fresh();
-  CHECK(one.run(silent.address(), 50) == Ended::timed_out);
+  CHECK(one.run(silent.address(), 50) == ExchangeResult::timed_out);
   // Nothing reads what does not fit between the two: the last byte is never written, so it has never run.
   const Fd deaf = listen_on(parse_address("127.0.0.1:0"));
   one.exchange = one.fresh();
   CHECK(one.run("127.0.0.1:" + std::to_string(port_of(deaf.get())), 50, std::string(32 << 20, 'x')) ==
-        Ended::cut_before_sent);
+        ExchangeResult::cut_before_sent);
 }
 
 TEST_CASE("what may not begin any more once its connection is up is not sent", "[net]") {
@@ -90,15 +90,15 @@
   OneExchange one;
   Request r;
   r.method = "GET", r.target = "/view";
-  const auto run = [&](const Begins& begins) {
+  const auto run = [&](const SendConditions& begins) {
     one.exchange = one.fresh();
     return one.exchange->run(r, {0, parse_address(backend.address())}, soon(), nullptr, begins);
   };
-  CHECK(run({soon(), [] { return false; }}) == Ended::withdrawn);
-  CHECK(run({Moment::clock::now(), {}}) == Ended::withdrawn);
+  CHECK(run({soon(), [] { return false; }}) == ExchangeResult::withdrawn);
+  CHECK(run({TimePoint::clock::now(), {}}) == ExchangeResult::withdrawn);
   CHECK(backend.calls() == 0);
-  CHECK(run({soon(), [] { return true; }}) == Ended::answered);
-  CHECK(outcome(Ended::withdrawn) == Ending::never_sent);
+  CHECK(run({soon(), [] { return true; }}) == ExchangeResult::answered);
+  CHECK(classify_result(ExchangeResult::withdrawn) == Ending::never_sent);
 }
 
 TEST_CASE("a labelled repeat whose connection comes up after its window is not sent", "[net]") {
@@ -123,15 +123,15 @@
   Visitor visitor(node);
   visitor.send(request("order", "x", 3900));
   told.await();
-  const Moment closed = soon(1000);  // the first was sent before this moment
+  const TimePoint closed = soon(1000);  // the first was sent before this moment
   std::this_thread::sleep_until(closed);
   late.hear();
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 502);
   CHECK(late.requests() == 0);
   node.stop({});
-  CHECK(node.counters().ended[static_cast<std::size_t>(Ended::withdrawn)] == 1);
+  CHECK(node.counters().ended[static_cast<std::size_t>(ExchangeResult::withdrawn)] == 1);
   check_sums(node.counters());
 }
 
@@ -153,7 +153,7 @@
   told.await();
   late.hear();
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 503);
   CHECK(late.requests() == 0);
 }
@@ -164,13 +164,13 @@
   OneExchange one;
   std::thread recalls([&] {
     reached.await();
-    one.exchange->recall();
+    one.exchange->cancel();
   });
-  CHECK(one.run(silent.address()) == Ended::recalled);
+  CHECK(one.run(silent.address()) == ExchangeResult::recalled);
   recalls.join();
   one.exchange = one.fresh();
-  one.exchange->recall();
-  CHECK(one.run(silent.address()) == Ended::recalled_unsent);
+  one.exchange->cancel();
+  CHECK(one.run(silent.address()) == ExchangeResult::recalled_unsent);
   CHECK(silent.calls() == 1);
 }
 
@@ -180,28 +180,28 @@
   OneExchange one;
   for (int i = 0; i < 3; ++i) {
     one.exchange = one.fresh();
-    CHECK(one.run(backend.address()) == Ended::answered);
+    CHECK(one.run(backend.address()) == ExchangeResult::answered);
   }
   CHECK(backend.connections() == 1);
 
   Server closing([&](const Server::Call&) { return ok("") + "more than was asked for"; });
   for (int i = 0; i < 2; ++i) {
     one.exchange = one.fresh();
-    CHECK(one.run(closing.address()) == Ended::answered);
+    CHECK(one.run(closing.address()) == ExchangeResult::answered);
   }
   CHECK(closing.connections() == 2);
 
-  Ledger ledger;
-  Budget budget(1, 1, 1, ledger);
-  Pool pool(budget, std::chrono::seconds(0), resting({}));
+  SharedUsage shared_usage;
+  ConnectionBudget budget(1, 1, 1, shared_usage);
+  ConnectionPool pool(budget, std::chrono::seconds(0), resting({}));
   {
-    auto held = pool.fresh();
+    auto held = pool.open_new();
     REQUIRE(held);
-    CHECK_FALSE(pool.fresh());  // no descriptor is left for it
+    CHECK_FALSE(pool.open_new());  // no descriptor is left for it
     pool.give_back(1, 1, std::move(*held));
   }
-  CHECK_FALSE(pool.idle(1, 1));  // too old: the backend may be closing it this moment
-  CHECK(pool.fresh());
+  CHECK_FALSE(pool.take_idle(1, 1));  // too old: the backend may be closing it this moment
+  CHECK(pool.open_new());
 }
 
 TEST_CASE("a connection rests after an answer, so that what comes right behind it is nobody's answer",
@@ -211,14 +211,14 @@
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
   const Fd here(ends[0]), there(ends[1]);
   for (const auto settle : {std::chrono::seconds(0), std::chrono::seconds(5)}) {
-    Ledger ledger;
-    Budget budget(4, 4, 4, ledger);
-    Pool pool(budget, std::chrono::seconds(9), resting(settle));
-    auto connection = pool.fresh();
+    SharedUsage shared_usage;
+    ConnectionBudget budget(4, 4, 4, shared_usage);
+    ConnectionPool pool(budget, std::chrono::seconds(9), resting(settle));
+    auto connection = pool.open_new();
     REQUIRE(connection);
     REQUIRE(::dup2(here.get(), connection->fd()) >= 0);  // open and quiet
     pool.give_back(1, 1, std::move(*connection));
-    CHECK(pool.idle(1, 1).has_value() == (settle.count() == 0));
+    CHECK(pool.take_idle(1, 1).has_value() == (settle.count() == 0));
   }
 }
 
@@ -229,16 +229,16 @@
     ::shutdown(call.fd, SHUT_WR);  // after the answer below there is an end
     return std::string();
   });
-  Ledger ledger;
-  Budget budget(4, 4, 4, ledger);
-  Pool pool(budget, std::chrono::seconds(9), resting({}));
-  auto connection = pool.fresh();
+  SharedUsage shared_usage;
+  ConnectionBudget budget(4, 4, 4, shared_usage);
+  ConnectionPool pool(budget, std::chrono::seconds(9), resting({}));
+  auto connection = pool.open_new();
   REQUIRE(connection);
-  REQUIRE(connect_to(connection->fd(), parse_address(backend.address()), soon()) == Io::done);
-  REQUIRE(write_all(connection->fd(), "GET / HTTP/1.1\r\n\r\n", soon()) == Io::done);
-  REQUIRE(wait_readable(connection->fd(), soon()) == Io::done);
+  REQUIRE(connect_to(connection->fd(), parse_address(backend.address()), soon()) == IoResult::done);
+  REQUIRE(write_all(connection->fd(), "GET / HTTP/1.1\r\n\r\n", soon()) == IoResult::done);
+  REQUIRE(wait_readable(connection->fd(), soon()) == IoResult::done);
   pool.give_back(0, 7, std::move(*connection));
-  CHECK_FALSE(pool.idle(0, 7));
+  CHECK_FALSE(pool.take_idle(0, 7));
 }
 
 TEST_CASE("a request goes through unchanged, and its answer's body comes back unchanged", "[net]") {
@@ -294,20 +294,20 @@
   int ends[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
   const Fd here(ends[0]), there(ends[1]);
-  REQUIRE(write_all(there.get(), "GET /up HTTP/1.1\r\n\r\n", soon()) == Io::done);
+  REQUIRE(write_all(there.get(), "GET /up HTTP/1.1\r\n\r\n", soon()) == IoResult::done);
   Reader in(here.get());
   BadRequest bad;
-  REQUIRE(read_request(in, soon(), bad));
-  CHECK_FALSE(in.holds_bytes());
+  REQUIRE(read_request_head(in, soon(), bad));
+  CHECK_FALSE(in.has_buffered_bytes());
 }
 
 TEST_CASE("silence is answered before the client's limit", "[net]") {
   Server silent(no_news);
   Fleet fleet({silent.address()});
   Visitor visitor(fleet.node);
-  const Moment limit = soon(300 + 50);
+  const TimePoint limit = soon(300 + 50);
   CHECK(visitor.ask(request("pay", "x", 300)).status == 502);
-  CHECK(Moment::clock::now() <
+  CHECK(TimePoint::clock::now() <
         limit + std::chrono::seconds(1));  // a loaded machine may be late, but not silent
 }
 
@@ -326,7 +326,7 @@
   ended.await();
   fleet.node.stop({});
   CHECK(fleet.node.counters().client_gone == 1);
-  CHECK(fleet.node.counters().ended[static_cast<std::size_t>(Ended::recalled)] == 1);
+  CHECK(fleet.node.counters().ended[static_cast<std::size_t>(ExchangeResult::recalled)] == 1);
   check_sums(fleet.node.counters());
 }
 
@@ -346,7 +346,7 @@
   CHECK(calls == 2);
   visitor.leave();
   fleet.node.stop({});
-  CHECK(fleet.node.counters().ended[static_cast<std::size_t>(Ended::recalled)] == 1);
+  CHECK(fleet.node.counters().ended[static_cast<std::size_t>(ExchangeResult::recalled)] == 1);
   check_sums(fleet.node.counters());
 }
 
@@ -383,7 +383,7 @@
   CHECK(late.ended());
   CHECK(idle.ended());
   go_on.set();
-  REQUIRE(busy.receive(r) == Got::whole);
+  REQUIRE(busy.receive(r) == ReadResult::whole);
   CHECK(r.status == 200);
   CHECK_FALSE(r.keep_alive);
   drains.join();
@@ -468,12 +468,12 @@
 TEST_CASE("clients that connect and say nothing keep nobody out, and are let go in time", "[net]") {
   Server backend(always(ok("")));
   Fleet fleet({backend.address()}, 36);  // twelve clients' connections
-  const Moment begun = Moment::clock::now();
+  const TimePoint begun = TimePoint::clock::now();
   std::vector<std::unique_ptr<Visitor>> silent;
   for (int i = 0; i < 30; ++i) silent.push_back(std::make_unique<Visitor>(fleet.node));
   for (int i = 0; i < 30; ++i) CHECK(Visitor(fleet.node).ask(request("view")).status == 200);
   for (auto& visitor : silent) CHECK(visitor->ended());
-  CHECK(Moment::clock::now() - begun < std::chrono::seconds(9));  // 60 s once
+  CHECK(TimePoint::clock::now() - begun < std::chrono::seconds(9));  // 60 s once
   check_sums(fleet.node.counters());
 }
 
@@ -482,7 +482,7 @@
   // other.
   Server backend(always(ok("")));
   Fleet fleet({backend.address()}, 36);  // twelve clients' connections, six of them idle
-  const Moment begun = Moment::clock::now();
+  const TimePoint begun = TimePoint::clock::now();
   std::vector<std::unique_ptr<Visitor>> visitors;
   for (int i = 0; i < 10; ++i) {
     visitors.push_back(std::make_unique<Visitor>(fleet.node));
@@ -490,7 +490,7 @@
   }
   CHECK(visitors.back()->ask(request("view")).status == 200);
   CHECK(visitors.front()->ended());
-  CHECK(Moment::clock::now() - begun < std::chrono::seconds(5));
+  CHECK(TimePoint::clock::now() - begun < std::chrono::seconds(5));
 }
 
 TEST_CASE("clients that asked only once leave before those that came back", "[net]") {
@@ -515,7 +515,7 @@
   visitor.send("POST /pay HTTP/1.1\r\nX-Txn: t\r\nX-Remaining-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
   for (int i = 0; i < 60; ++i) visitor.send(std::string(1000000, 'x'));
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 413);
   CHECK(visitor.ended());
 }
@@ -538,10 +538,10 @@
   CHECK(status("POST /order" + fields + "Content-Length: 0\r\n\r\n") == 409);
   go_on.set();
   Response r;
-  REQUIRE(first.receive(r) == Got::whole);
+  REQUIRE(first.receive(r) == ReadResult::whole);
   CHECK(r.status == 200);
   CHECK(backend.calls() == 1);
-  CHECK(fleet.node.counters().bad[static_cast<std::size_t>(Bad::id_open)] == 1);
+  CHECK(fleet.node.counters().bad[static_cast<std::size_t>(RequestError::id_open)] == 1);
   CHECK(fleet.node.counters().bad_requests() == 5);
 }
 
@@ -630,7 +630,7 @@
   // for 8 to 14 s with backends that were draining.
   Server stays(always(ok("stays"))), leaves(always(ok("leaves")));
   Flag told;
-  Moment silent_since;
+  TimePoint silent_since;
   const std::string turned_away = "HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n";
   const auto drained = [&] {
     return ok("{\"version\":2,\"full\":true,\"servers\":[" + entry("s-0", stays.address(), "ready") + "," +
@@ -638,7 +638,7 @@
   };
   Server discovery([&](const Server::Call& call) {
     if (call.number < 2) return turned_away;
-    if (call.number == 2) return silent_since = Moment::clock::now(), no_news(call);
+    if (call.number == 2) return silent_since = TimePoint::clock::now(), no_news(call);
     if (call.number < 7) return turned_away;
     if (call.number == 7) return drained();
     if (call.number == 8) told.set();
@@ -648,7 +648,7 @@
   Node& node = *made;
   node.start();
   told.await();
-  CHECK(Moment::clock::now() - silent_since < std::chrono::seconds(6));
+  CHECK(TimePoint::clock::now() - silent_since < std::chrono::seconds(6));
   const int before = leaves.calls();
   for (int n = 0; n < 20; ++n) CHECK(Visitor(node).ask(request("view")).body == "stays");
   CHECK(leaves.calls() == before);
@@ -696,9 +696,9 @@
 
 TEST_CASE("discovery that answers without waiting and without news is not asked without end", "[net]") {
   Flag enough;
-  Notes<Moment> calls;
+  Notes<TimePoint> calls;
   Server discovery([&](const Server::Call& call) {
-    calls.add(Moment::clock::now());
+    calls.add(TimePoint::clock::now());
     if (call.number == 3) enough.set();
     return call.number < 3 ? ok(list(1, false, {})) : no_news(call);
   });
@@ -722,7 +722,7 @@
 }
 
 TEST_CASE("threads are used again, and there are no more than allowed", "[net]") {
-  Threads threads(2);
+  ThreadPool threads(2);
   Flag go_on;
   std::atomic<int> done{0};
   const auto wait = [&] { go_on.await(), ++done; };
@@ -743,8 +743,8 @@
   // Taken in turn, as many as were once busy at the same moment stayed for as long as anything came.
   Flag go_on;
   std::atomic<int> begun{0};
-  Threads threads(64);  // ends before what its threads wait for
-  const Moment limit = soon(4000);
+  ThreadPool threads(64);  // ends before what its threads wait for
+  const TimePoint limit = soon(4000);
   for (int i = 0; i < 16; ++i) REQUIRE(threads.run([&] { ++begun, go_on.await(); }));
   while (begun < 16) std::this_thread::yield();
   go_on.set();
@@ -756,7 +756,7 @@
       REQUIRE(threads.run([&] { used.insert(std::this_thread::get_id()), done.set(); }));
       done.await();
     }
-  } while (used.size() > 3 && Moment::clock::now() < limit);
+  } while (used.size() > 3 && TimePoint::clock::now() < limit);
   CHECK(used.size() <= 3);
 }
 
@@ -779,32 +779,32 @@
   fill.clear();
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &before) == 0);
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 200);
 }
 
 TEST_CASE("a list's entry that can't be read hides no other", "[net]") {
-  Names names;
-  Directory directory(names, 0);
-  const Listing listing = directory.read(
+  NameIndices names;
+  BackendDirectory directory(names, 0);
+  const DiscoveryList listing = directory.read(
       R"({"version":4,"full":false,"servers":[{"id":"a","addr":"nowhere","state":"ready"},
           {"id":"b","addr":"127.0.0.1:81","state":"asleep"},{"id":"c","addr":"127.0.0.1:82","state":"gone"}]})");
   CHECK(listing.version == 4);
   REQUIRE(listing.entries.size() == 1);
   CHECK(listing.entries[0].availability == Availability::deleted);
   CHECK_FALSE(directory.find(listing.entries[0].backend + 1));
-  CHECK_FALSE(listing.hides);
+  CHECK_FALSE(listing.has_unidentified_entry);
   CHECK_THROWS_AS(directory.read("[]"), Malformed);
 }
 
 TEST_CASE("a list's entry that can't be read does not hide that its own backend leaves", "[net]") {
-  Names names;
-  Directory directory(names, 0);
+  NameIndices names;
+  BackendDirectory directory(names, 0);
   const auto known = directory.read(list(1, true, {"127.0.0.1:81", "127.0.0.1:82"}));
   const Index a = known.entries[0].backend, b = known.entries[1].backend;
-  const std::uint64_t life = directory.find(a)->life;
-  CHECK(directory.stays(a, life));
-  CHECK_FALSE(directory.stays(a, life + 5));
+  const std::uint64_t instance_id = directory.find(a)->instance_id;
+  CHECK(directory.is_still_running(a, instance_id));
+  CHECK_FALSE(directory.is_still_running(a, instance_id + 5));
   // A list of changes says it once: an address or a state that can't be read, and the drain was lost.
   const auto spoilt = directory.read(R"({"version":2,"full":false,"servers":[{"id":"s-0","addr":"nowhere","state":"draining"},
       {"id":"s-1","addr":"127.0.0.1:82","zone":"east","state":"drowsy"},{"id":"s-7","addr":"nowhere","state":"ready"}]})");
@@ -814,17 +814,17 @@
   CHECK(spoilt.entries[0].zone == known.entries[0].zone);
   CHECK(spoilt.entries[1].backend == b);
   CHECK(spoilt.entries[1].availability == Availability::stopping);
-  CHECK_FALSE(spoilt.hides);
-  CHECK_FALSE(directory.stays(a, life));
+  CHECK_FALSE(spoilt.has_unidentified_entry);
+  CHECK_FALSE(directory.is_still_running(a, instance_id));
   CHECK(directory.find(a)->address.sin_port == parse_address("127.0.0.1:81").sin_port);  // what is under way goes on there
   // With no id it may be anybody's: the whole list tells. A whole list hides nobody, who is not in it leaves.
-  CHECK(directory.read(R"({"version":3,"full":false,"servers":[{"addr":"127.0.0.1:81","state":"draining"}]})").hides);
-  CHECK(directory.read(R"({"version":3,"full":false,"servers":["?"]})").hides);
-  CHECK_FALSE(directory.read(R"({"version":4,"full":true,"servers":["?"]})").hides);
+  CHECK(directory.read(R"({"version":3,"full":false,"servers":[{"addr":"127.0.0.1:81","state":"draining"}]})").has_unidentified_entry);
+  CHECK(directory.read(R"({"version":3,"full":false,"servers":["?"]})").has_unidentified_entry);
+  CHECK_FALSE(directory.read(R"({"version":4,"full":true,"servers":["?"]})").has_unidentified_entry);
   directory.read(list(5, true, {"127.0.0.1:81", "127.0.0.1:82"}));
-  CHECK(directory.stays(b, directory.find(b)->life));
+  CHECK(directory.is_still_running(b, directory.find(b)->instance_id));
   directory.read(list(6, true, {"127.0.0.1:81"}));
-  CHECK_FALSE(directory.stays(b, directory.find(b)->life));
+  CHECK_FALSE(directory.is_still_running(b, directory.find(b)->instance_id));
 }
 
 TEST_CASE("where a list of changes can't be read to the last name, the whole list is asked for", "[net]") {
@@ -876,8 +876,8 @@
   discovery.tell(5, servers(5, true, 0, "draining"));
   discovery.await_heard(5);
   CHECK_FALSE(goes_there());
-  CHECK(node.figures().listed == kAll);
-  CHECK(node.figures().avoided == kAll - kLeave);
+  CHECK(node.metrics().listed == kAll);
+  CHECK(node.metrics().avoided == kAll - kLeave);
   CHECK(node.counters().list_age_ms() >= 0);
 }
 
@@ -891,16 +891,16 @@
   const auto read = [&](const std::string& all) {
     return read_config(replaced(config_text("[]", "127.0.0.1:1"), "{\"name\"", "{\"peer_listen\":\"" + own + "\",\"peers\":[" + all + "],\"name\""));
   };
-  const auto start = [&](const Config& c) { return Peers::Start{c.name, c.zone, c.peer_listen, c.peers, {}, 0, "", false}; };
+  const auto start = [&](const Config& c) { return MembershipTransport::Options{c.name, c.zone, c.peer_listen, c.peers, {}, 0, "", false}; };
   const Config config = read(peers(1200));
   REQUIRE(config.peers.size() == 1200);
-  Peers there(start(config), [](int) {});
+  MembershipTransport there(start(config), [](int) {});
   std::thread runs([&] { there.run(); });
   // It asks round from the first to the last, of whom nobody is there.
   const auto hellos = [&] { return there.counters().sent[3].load(); };
   REQUIRE(std::string(members::kKindNames[3]) == "hello");
-  const Moment until = soon(20000);
-  while (hellos() < 8 && Moment::clock::now() < until) std::this_thread::yield();
+  const TimePoint until = soon(20000);
+  while (hellos() < 8 && TimePoint::clock::now() < until) std::this_thread::yield();
   CHECK(hellos() >= 8);
   there.move(read(peers(1500)).peers);
   CHECK_THROWS_AS(there.move(read(peers(2001)).peers), Malformed);
@@ -909,13 +909,13 @@
   // One that is no text keeps its place, so that nobody takes another's number, and is refused where peers are used.
   const Config odd = read(peers(2) + ",7");
   CHECK(odd.peers.size() == 3);
-  CHECK_THROWS_AS(Peers(start(odd), [](int) {}), Malformed);
+  CHECK_THROWS_AS(MembershipTransport(start(odd), [](int) {}), Malformed);
 }
 
 TEST_CASE("numbers, lives and connections of gone backends are free again, however many there were",
           "[net]") {
-  Names names;
-  Directory directory(names, 0);
+  NameIndices names;
+  BackendDirectory directory(names, 0);
   Facts facts;
   std::uint64_t last_life = 0;
   for (int i = 0; i < 2000; ++i) {
@@ -925,12 +925,12 @@
     };
     const auto list = directory.read(
         "{\"version\":1,\"full\":false,\"servers\":[" + entry(i, "ready") + "," + entry(i - 1, "gone") + "]}",
-        facts.balancer.released());
-    facts.balancer.told(ListForm::delta, list.entries);
+        facts.balancer.take_released());
+    facts.balancer.update_backends(ListForm::delta, list.entries);
     const auto target = directory.find(list.entries[0].backend);
     REQUIRE(target);
-    CHECK(target->life > last_life);  // at the same address, and yet another backend
-    last_life = target->life;
+    CHECK(target->instance_id > last_life);  // at the same address, and yet another backend
+    last_life = target->instance_id;
   }
   CHECK(directory.size() < 6);
 }
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -16,7 +16,7 @@
   bool ready() override { return node.ready(); }
   bool drain() override { return node.drain(); }
   bool activate() override { return node.activate(); }
-  std::string figures() override { return ops::figures_text(node.figures()); }
+  std::string metrics() override { return ops::figures_text(node.metrics()); }
   ops::Door door{parse_address("127.0.0.1:0"), *this};
 
   std::string at() const { return "127.0.0.1:" + std::to_string(door.port()); }
@@ -31,22 +31,22 @@
 }  // namespace
 
 TEST_CASE("a node's stage knows its way back from a drain and none from a stop", "[ops]") {
-  core::Stage stage;
-  CHECK(stage.is() == core::Stage::Is::starting);
+  core::NodeState stage;
+  CHECK(stage.phase() == core::NodeState::Phase::starting);
   CHECK(stage.drain());  // before it is up: it comes up drained
-  stage.came_up();
-  CHECK(stage.is() == core::Stage::Is::draining);
+  stage.mark_started();
+  CHECK(stage.phase() == core::NodeState::Phase::draining);
   CHECK(stage.drain());
   CHECK(stage.activate());
   CHECK(stage.activate());
-  CHECK(stage.ready());
+  CHECK(stage.is_ready());
   CHECK(stage.drain());
   CHECK(stage.stop());
   CHECK_FALSE(stage.stop());
-  CHECK(stage.is() == core::Stage::Is::stopping);
+  CHECK(stage.phase() == core::NodeState::Phase::stopping);
   CHECK_FALSE(stage.activate());
   CHECK_FALSE(stage.drain());
-  CHECK_FALSE(stage.ready());
+  CHECK_FALSE(stage.is_ready());
 }
 
 TEST_CASE("the door answers each call, and says what is wrong with any other", "[ops]") {
@@ -148,11 +148,11 @@
   Node& node = *made;
   node.start();
   told.await();
-  CHECK(node.figures().listed == 4);
-  CHECK(node.figures().avoided == 1);  // the one that drains
+  CHECK(node.metrics().listed == 4);
+  CHECK(node.metrics().avoided == 1);  // the one that drains
   Visitor visitor(node);
   while (bad.calls() < 4) visitor.ask(request("view"));
-  CHECK(node.figures().avoided == 2);
+  CHECK(node.metrics().avoided == 2);
 }
 
 TEST_CASE("a drained node lets its clients go, serves what still comes, and comes back", "[ops]") {
@@ -167,7 +167,7 @@
   CHECK(idle.ask(kUp).status == 200);
   busy.send(request("view"));
   reached.await();
-  const Moment limit = soon(4000);
+  const TimePoint limit = soon(4000);
   CHECK(it.call("POST /v1/node/drain") == 200);
   CHECK(Visitor(it.node).ask(kUp).status == 503);
   CHECK(it.call("GET /v1/readyz") == 503);
@@ -179,10 +179,10 @@
     CHECK(v->ended());
   }
   CHECK(idle.ended());
-  CHECK(Moment::clock::now() < limit);
+  CHECK(TimePoint::clock::now() < limit);
   go_on.set();
   Response r;
-  REQUIRE(busy.receive(r) == Got::whole);
+  REQUIRE(busy.receive(r) == ReadResult::whole);
   CHECK(r.status == 200);
   CHECK_FALSE(r.keep_alive);
 
@@ -242,13 +242,13 @@
     INFO(broken);
     file.write(broken);
     fleet.node.reload(file.path());
-    CHECK(fleet.node.figures().reloads_failed == ++failed);
+    CHECK(fleet.node.metrics().reloads_failed == ++failed);
     CHECK(fleet.node.settings() == before);
   }
   file.write(good);
   fleet.node.reload(file.path());
-  CHECK(fleet.node.figures().reloads == 1);
-  CHECK(fleet.node.figures().reloads_failed == failed);
+  CHECK(fleet.node.metrics().reloads == 1);
+  CHECK(fleet.node.metrics().reloads_failed == failed);
 }
 
 TEST_CASE("a reload brings workloads and takes them away, while one is under way on old terms", "[ops]") {
@@ -265,21 +265,21 @@
   visitor.send(request("view"));
   reached.await();
   fleet.node.reload(file.path());
-  REQUIRE(fleet.node.figures().reloads == 1);
+  REQUIRE(fleet.node.metrics().reloads == 1);
   std::string sight = request("view");
   CHECK(Visitor(fleet.node).ask(sight).status == 404);
   CHECK(other.ask(replaced(sight, "/view/", "/sight/")).status == 200);
   go_on.set();
   Response r;
-  REQUIRE(visitor.receive(r) == Got::whole);
+  REQUIRE(visitor.receive(r) == ReadResult::whole);
   CHECK(r.status == 200);
-  const auto shown = fleet.node.figures().by_workload;
+  const auto shown = fleet.node.metrics().by_workload;
   CHECK(shown.at("view").succeeded == 1);  // counts stay
   CHECK(shown.at("sight").succeeded == 1);
   file.write(first);
   fleet.node.reload(file.path());
   CHECK(other.ask(request("view")).status == 200);
-  CHECK(fleet.node.figures().by_workload.at("view").succeeded == 2);
+  CHECK(fleet.node.metrics().by_workload.at("view").succeeded == 2);
   // A reload while it drains changes nothing of that.
   fleet.node.drain();
   fleet.node.reload(file.path());
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -31,7 +31,7 @@
   late.hear();
   node.stop({});  // once the attempt has ended
   CHECK(late.requests() == 0);
-  CHECK(node.counters().ended[static_cast<std::size_t>(Ended::withdrawn)] == 1);
+  CHECK(node.counters().ended[static_cast<std::size_t>(ExchangeResult::withdrawn)] == 1);
 }
 
 TEST_CASE("where attempts can't be cancelled, no copy begins once another has answered", "[races]") {
@@ -49,7 +49,7 @@
   while (node.counters().handed_off < 2) std::this_thread::yield();
   copied.set();
   Response response;
-  REQUIRE(visitor.receive(response) == Got::whole);
+  REQUIRE(visitor.receive(response) == ReadResult::whole);
   CHECK(response.body == "first");
   late.hear();
   node.stop({});
@@ -79,7 +79,7 @@
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
   Fd here(ends[0]), there(ends[1]);
   CHECK_FALSE(peer_has_closed(here.get()));
-  REQUIRE(write_all(there.get(), "half a line", soon()) == Io::done);
+  REQUIRE(write_all(there.get(), "half a line", soon()) == IoResult::done);
   CHECK_FALSE(peer_has_closed(here.get()));
   there.reset();
   CHECK(peer_has_closed(here.get()));
@@ -92,12 +92,12 @@
   Visitor visitor(fleet.node);
   visitor.send(request("order", "x", 15000));
   reached.await();
-  const Moment before_it_is_killed = soon(5000);
+  const TimePoint before_it_is_killed = soon(5000);
   std::thread stops([&] { fleet.node.stop({{}, {}, milliseconds(300)}); });
   Response response;
-  CHECK(visitor.receive(response) == Got::whole);
+  CHECK(visitor.receive(response) == ReadResult::whole);
   CHECK(response.status == 502);
-  CHECK(Moment::clock::now() < before_it_is_killed);
+  CHECK(TimePoint::clock::now() < before_it_is_killed);
   stops.join();
 }
 
@@ -106,15 +106,15 @@
       GENERATE(R"({"version":2,"full":true})", R"({"version":2,"full":true,"servers":7})",
                R"({"version":2,"full":true,"servers":{"s-0":{}}})",
                R"({"version":2,"full":true,"servers":null})", R"({"version":2,"full":true,"servers":[)");
-  Names names;
-  Directory directory(names, 0);
-  const Listing before = directory.read(list(1, true, {"127.0.0.1:7"}));
+  NameIndices names;
+  BackendDirectory directory(names, 0);
+  const DiscoveryList before = directory.read(list(1, true, {"127.0.0.1:7"}));
   REQUIRE(before.entries.size() == 1);
   const Index backend = before.entries[0].backend;
   const auto target = directory.find(backend);
   REQUIRE(target);
   CHECK_THROWS_AS(directory.read(broken), Malformed);
-  CHECK(directory.stays(backend, target->life));
+  CHECK(directory.is_still_running(backend, target->instance_id));
 }
 
 TEST_CASE("a client for whom no thread is to be had gets its answer, not a reset", "[races]") {
@@ -126,23 +126,23 @@
   const Fd listener = listen_on(parse_address("127.0.0.1:0"));
   const Fd peer = new_socket();
   REQUIRE(connect_to(peer.get(), parse_address("127.0.0.1:" + std::to_string(port_of(listener.get()))),
-                     soon()) == Io::done);
-  REQUIRE(wait_readable(listener.get(), soon()) == Io::done);
-  Fd accepted = accept_from(listener.get()).fd;
+                     soon()) == IoResult::done);
+  REQUIRE(wait_readable(listener.get(), soon()) == IoResult::done);
+  Fd accepted = accept_connection(listener.get()).fd;
   REQUIRE(accepted);
-  REQUIRE(write_all(peer.get(), request("view"), soon()) == Io::done);
-  REQUIRE(wait_readable(accepted.get(), soon()) == Io::done);
-  Lobby lobby([](const std::shared_ptr<Client>&) { return false; }, {8, 8, 8, 8});
-  lobby.enter(std::make_shared<Client>(node, std::move(accepted), false,
-                                       troutstage::core::ArrivalEstimate(Moment::clock::now())),
-              Lobby::Wait::first);
+  REQUIRE(write_all(peer.get(), request("view"), soon()) == IoResult::done);
+  REQUIRE(wait_readable(accepted.get(), soon()) == IoResult::done);
+  IdleConnections lobby([](const std::shared_ptr<ClientConnection>&) { return false; }, {8, 8, 8, 8});
+  lobby.add(std::make_shared<ClientConnection>(node, std::move(accepted), false,
+                                       troutstage::core::ArrivalEstimate(TimePoint::clock::now())),
+              IdleConnections::WaitsFor::first_request);
   std::thread runs([&] { lobby.run(); });
   Reader in(peer.get());
   Response response;
-  CHECK(read_response(in, soon(), response) == Got::whole);
+  CHECK(read_response(in, soon(), response) == ReadResult::whole);
   CHECK(response.status == 503);
   std::string more;
-  CHECK(read_some(peer.get(), more, soon()) == Io::ended);
+  CHECK(read_some(peer.get(), more, soon()) == IoResult::ended);
   lobby.stop();
   runs.join();
   lobby.close_idle(true);
@@ -155,28 +155,28 @@
   const Fd listener = listen_on(parse_address("127.0.0.1:0"));
   const Fd peer = new_socket();
   REQUIRE(connect_to(peer.get(), parse_address("127.0.0.1:" + std::to_string(port_of(listener.get()))), soon()) ==
-          Io::done);
-  REQUIRE(wait_readable(listener.get(), soon()) == Io::done);
-  Fd accepted = accept_from(listener.get()).fd;
+          IoResult::done);
+  REQUIRE(wait_readable(listener.get(), soon()) == IoResult::done);
+  Fd accepted = accept_connection(listener.get()).fd;
   REQUIRE(accepted);
   const int accepted_fd = accepted.get();
-  const Moment connected = Moment::clock::now();
-  std::optional<Moment> arrival;
-  Lobby lobby(
-      [&](const std::shared_ptr<Client>& client) {
+  const TimePoint connected = TimePoint::clock::now();
+  std::optional<TimePoint> arrival;
+  IdleConnections lobby(
+      [&](const std::shared_ptr<ClientConnection>& client) {
         arrival = client->arrival().arrival();
         return true;
       },
       {8, 8, 8, 8});
   std::thread runs([&] { lobby.run(); });
-  lobby.enter(std::make_shared<Client>(*node, std::move(accepted), false,
+  lobby.add(std::make_shared<ClientConnection>(*node, std::move(accepted), false,
                                        troutstage::core::ArrivalEstimate(connected)),
-              Lobby::Wait::first);
+              IdleConnections::WaitsFor::first_request);
   std::this_thread::sleep_for(std::chrono::milliseconds(400));  // it rests
   lobby.stop();
   runs.join();
-  REQUIRE(write_all(peer.get(), request("view"), soon()) == Io::done);
-  REQUIRE(wait_readable(accepted_fd, soon()) == Io::done);
+  REQUIRE(write_all(peer.get(), request("view"), soon()) == IoResult::done);
+  REQUIRE(wait_readable(accepted_fd, soon()) == IoResult::done);
   lobby.close_idle(true);
   REQUIRE(arrival);
   CHECK(*arrival > connected + std::chrono::milliseconds(200));
@@ -189,8 +189,8 @@
   REQUIRE(::listen(listener.get(), 4) == 0);
   const Fd client = new_socket();
   REQUIRE(connect_to(client.get(), parse_address("127.0.0.1:" + std::to_string(port_of(listener.get()))),
-                     soon()) == Io::done);
-  const Fd accepted = accept_from(listener.get()).fd;
+                     soon()) == IoResult::done);
+  const Fd accepted = accept_connection(listener.get()).fd;
   int at_once = 0;
   socklen_t size = sizeof at_once;
   REQUIRE(::getsockopt(accepted.get(), IPPROTO_TCP, TCP_NODELAY, &at_once, &size) == 0);
--- a/tests/reuse_test.cpp
+++ b/tests/reuse_test.cpp
@@ -37,7 +37,7 @@
 
 void await_found_out(const Node& node) {
   const auto is_found_out = [&] { return node.counters_text().find("backends_spoke_unasked 0\n") == std::string::npos; };
-  for (const Moment limit = soon(); !is_found_out() && Moment::clock::now() < limit;) std::this_thread::yield();
+  for (const TimePoint limit = soon(); !is_found_out() && TimePoint::clock::now() < limit;) std::this_thread::yield();
   CHECK(is_found_out());
 }
 
@@ -66,8 +66,8 @@
     const int connections = backend.connections() + other.connections();
     return answered_with_anothers(fleet.node, 4) == 0 && backend.connections() + other.connections() == connections;
   };
-  const Moment limit = soon();
-  while (!is_reused() && Moment::clock::now() < limit) std::this_thread::sleep_for(milliseconds(300));
+  const TimePoint limit = soon();
+  while (!is_reused() && TimePoint::clock::now() < limit) std::this_thread::sleep_for(milliseconds(300));
   doubles = true;
   CHECK(answered_with_anothers(fleet.node, kRequests) == 0);
   await_found_out(fleet.node);
@@ -77,30 +77,30 @@
   using policy::ConnectionReuse;
   const policy::ReuseRules rules{milliseconds(20), milliseconds(100), milliseconds(1000), 2, milliseconds(5000)};
   ConnectionReuse reuse(rules);
-  ConnectionReuse::Moment now{std::chrono::hours(1)};
-  CHECK(reuse.is_kept(7, now));
-  CHECK(reuse.rest(7) == rules.first_rest);
-  reuse.was_quiet(7, milliseconds(100), now);
-  reuse.was_quiet(7, milliseconds(99), now);  // too short to prove anything
-  CHECK(reuse.rest(7) == rules.first_rest);
-  reuse.was_quiet(7, milliseconds(150), now);
-  CHECK(reuse.rest(7) == rules.rest);
-  CHECK(reuse.rest(8) == rules.first_rest);  // another backend
+  ConnectionReuse::TimePoint now{std::chrono::hours(1)};
+  CHECK(reuse.may_keep_connections(7, now));
+  CHECK(reuse.cooldown(7) == rules.unproven_cooldown);
+  reuse.record_quiet(7, milliseconds(100), now);
+  reuse.record_quiet(7, milliseconds(99), now);  // too short to prove anything
+  CHECK(reuse.cooldown(7) == rules.unproven_cooldown);
+  reuse.record_quiet(7, milliseconds(150), now);
+  CHECK(reuse.cooldown(7) == rules.cooldown);
+  CHECK(reuse.cooldown(8) == rules.unproven_cooldown);  // another backend
 
-  reuse.spoke_unasked(7, now);
-  CHECK_FALSE(reuse.is_kept(7, now + rules.distrust - milliseconds(1)));
-  CHECK(reuse.is_kept(7, now + rules.distrust));
-  CHECK(reuse.is_kept(8, now));
-  CHECK(reuse.rest(7) == rules.long_rest);  // it has to prove itself anew
+  reuse.record_unsolicited_bytes(7, now);
+  CHECK_FALSE(reuse.may_keep_connections(7, now + rules.distrust_period - milliseconds(1)));
+  CHECK(reuse.may_keep_connections(7, now + rules.distrust_period));
+  CHECK(reuse.may_keep_connections(8, now));
+  CHECK(reuse.cooldown(7) == rules.distrusted_cooldown);  // it has to prove itself anew
 
-  now += rules.distrust;
-  reuse.was_quiet(7, milliseconds(1000), now);
-  reuse.was_quiet(7, milliseconds(999), now);
-  CHECK(reuse.rest(7) == rules.long_rest);
-  reuse.was_quiet(7, milliseconds(1500), now);
-  CHECK(reuse.rest(7) == rules.rest);
+  now += rules.distrust_period;
+  reuse.record_quiet(7, milliseconds(1000), now);
+  reuse.record_quiet(7, milliseconds(999), now);
+  CHECK(reuse.cooldown(7) == rules.distrusted_cooldown);
+  reuse.record_quiet(7, milliseconds(1500), now);
+  CHECK(reuse.cooldown(7) == rules.cooldown);
   reuse.forget_before(now);
-  CHECK(reuse.rest(7) == rules.rest);
+  CHECK(reuse.cooldown(7) == rules.cooldown);
   reuse.forget_before(now + milliseconds(1));
-  CHECK(reuse.rest(7) == rules.first_rest);
+  CHECK(reuse.cooldown(7) == rules.unproven_cooldown);
 }
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -25,10 +25,10 @@
 
 template <class Condition>
 void await(Condition condition, const std::string& what) {
-  const Moment limit = soon(kPatience);
+  const TimePoint limit = soon(kPatience);
   while (!condition()) {
     INFO(what);
-    REQUIRE(Moment::clock::now() < limit);
+    REQUIRE(TimePoint::clock::now() < limit);
     std::this_thread::sleep_for(milliseconds(20));
   }
 }
@@ -98,7 +98,7 @@
 
  private:
   struct Late {
-    Moment at;
+    TimePoint at;
     std::size_t from, to;
     std::string bytes;
     bool operator>(const Late& o) const { return at > o.at; }
@@ -124,11 +124,11 @@
           const Link& l = links_[at];
           if (l.cut || chance() < l.loss) continue;
           for (int copies = chance() < l.twice ? 2 : 1; copies > 0; --copies)
-            late.push({Moment::clock::now() + milliseconds(l.delay_ms > 0 ? static_cast<int>(chance() * l.delay_ms) : 0), from, to,
+            late.push({TimePoint::clock::now() + milliseconds(l.delay_ms > 0 ? static_cast<int>(chance() * l.delay_ms) : 0), from, to,
                        std::string(bytes, static_cast<std::size_t>(got))});
         }
       }
-      for (; !late.empty() && late.top().at <= Moment::clock::now(); late.pop()) inject(late.top().from, late.top().to, late.top().bytes);
+      for (; !late.empty() && late.top().at <= TimePoint::clock::now(); late.pop()) inject(late.top().from, late.top().to, late.top().bytes);
     }
   }
 
@@ -139,7 +139,7 @@
   std::vector<Link> links_;
   mutable std::map<std::size_t, std::deque<std::pair<std::size_t, std::string>>> kept_;
   std::atomic<bool> stop_{false};
-  Threads thread_{1};
+  ThreadPool thread_{1};
 };
 
 // Counts what ran, by the invocation's id.
@@ -260,11 +260,11 @@
   // What a node tells; empty where it does not answer.
   std::string get(std::size_t n, const std::string& path) const {
     Fd fd = new_socket();
-    if (connect_to(fd.get(), parse_address(ones_[n]->mgmt), soon(2000)) != Io::done) return "";
+    if (connect_to(fd.get(), parse_address(ones_[n]->mgmt), soon(2000)) != IoResult::done) return "";
     Reader in(fd.get());
     Response r;
     write_all(fd.get(), "GET " + path + " HTTP/1.1\r\n\r\n", soon(2000));
-    return read_response(in, soon(2000), r) == Got::whole && r.status == 200 ? r.body : "";
+    return read_response(in, soon(2000), r) == ReadResult::whole && r.status == 200 ? r.body : "";
   }
   Json members(std::size_t n) const {
     const std::string told = get(n, "/v1/members");
@@ -302,11 +302,11 @@
   }
   std::uint64_t counter(std::size_t n, const std::string& name) {
     Fd fd = new_socket();
-    if (connect_to(fd.get(), parse_address(ones_[n]->listen), soon(2000)) != Io::done) return 0;
+    if (connect_to(fd.get(), parse_address(ones_[n]->listen), soon(2000)) != IoResult::done) return 0;
     Reader in(fd.get());
     Response r;
     write_all(fd.get(), "GET /counters HTTP/1.1\r\nHost: h\r\n\r\n", soon(2000));
-    if (read_response(in, soon(2000), r) != Got::whole) return 0;
+    if (read_response(in, soon(2000), r) != ReadResult::whole) return 0;
     const std::size_t at = ("\n" + r.body).find("\n" + name + " ");
     return at == std::string::npos ? 0 : std::stoull(r.body.substr(at + name.size() + 1));
   }
@@ -363,17 +363,17 @@
       Fd fd = new_socket();
       Reader in(fd.get());
       Response r;
-      Got got = Got::cut;
-      if (connect_to(fd.get(), parse_address(one.listen), soon(500)) == Io::done &&
-          write_all(fd.get(), request(turn % 2 ? "pay" : "view", "x", 2000), soon(500)) == Io::done) {
+      ReadResult got = ReadResult::cut;
+      if (connect_to(fd.get(), parse_address(one.listen), soon(500)) == IoResult::done &&
+          write_all(fd.get(), request(turn % 2 ? "pay" : "view", "x", 2000), soon(500)) == IoResult::done) {
         got = read_response(in, soon(3000), r);
         // After the one answer there is nothing.
-        if (got == Got::whole && look_at(fd.get()) == Unread::bytes) got = Got::cut, ++doubled_;
+        if (got == ReadResult::whole && peek_socket(fd.get()) == PeekResult::bytes) got = ReadResult::cut, ++doubled_;
       } else if (one.disturbed == disturbed && one.runs) {
         std::this_thread::sleep_for(milliseconds(20));  // it is starting
         continue;
       }
-      if (got == Got::whole) ++answered_;
+      if (got == ReadResult::whole) ++answered_;
       else if (one.disturbed == disturbed) ++wrong_;
     }
   }
@@ -386,7 +386,7 @@
   std::vector<std::unique_ptr<One>> ones_;
   std::atomic<bool> stop_{false};
   std::atomic<int> answered_{0}, wrong_{0}, doubled_{0};
-  Threads clients_{3};
+  ThreadPool clients_{3};
 };
 
 }  // namespace rig
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr Tenths kMs = 10;
-constexpr Tenths kStart = 10000000;
+constexpr TenthsOfMs kMs = 10;
+constexpr TenthsOfMs kStart = 10000000;
 
 // One line, split at blanks: bare words in order, and name=value pairs.
 struct Line {
@@ -36,8 +36,8 @@
     auto found = pairs.find(name);
     return found == pairs.end() ? fallback : std::stod(found->second);
   }
-  Tenths span(const std::string& name, double fallback) const {
-    return static_cast<Tenths>(number(name, fallback) * kMs);
+  TenthsOfMs span(const std::string& name, double fallback) const {
+    return static_cast<TenthsOfMs>(number(name, fallback) * kMs);
   }
 };
 
@@ -51,10 +51,10 @@
   bool lost = false;  // not even a time-out is told
   bool open = false;  // answers on open connections; new ones fail
   Ending ending = Ending::succeeded;
-  Tenths after = 0, probe = 0;
+  TenthsOfMs after = 0, probe = 0;
   int resets = 0;  // one hand-off in so many breaks at once
   int hangs = -1;  // those of this workload are never answered
-  Report report;   // what a probe's answer brings
+  LoadReport report;   // what a probe's answer brings
 };
 
 class Player {
@@ -66,7 +66,7 @@
     if (what == "list") return list(l);
     if (what == "invoke") return invoke(l.word(1), l);
     if (what == "end") return end(l.word(1), std::stoi(l.word(2)), kEndings.at(l.word(3)), l.has("final"));
-    if (what == "at") return move_to(kStart + static_cast<Tenths>(std::stod(l.word(1)) * kMs));
+    if (what == "at") return move_to(kStart + static_cast<TenthsOfMs>(std::stod(l.word(1)) * kMs));
     if (what == "flow") return flow(l);
     if (what == "way") return way(l);
     if (what == "->") return expect(l);
@@ -95,10 +95,10 @@
 
   struct Out {
     std::string backend;
-    Tenths until;
+    TenthsOfMs until;
   };
   struct Later {
-    Tenths at;
+    TenthsOfMs at;
     std::string invocation;
     int number;
     Ending ending;
@@ -109,33 +109,33 @@
     s_.zone = 0;
     s_.nodes = static_cast<int>(l.number("nodes", 2));
     s_.max_hand_offs = static_cast<int>(l.number("hand-offs", 3));
-    s_.must_ask = !l.has("pushed");
-    s_.may_recall = true;
+    s_.is_discovery_on_request = !l.has("pushed");
+    s_.may_cancel = true;
     s_.may_probe = l.has("probes");
-    s_.cross_zone_price = l.number("link", 0);
-    s_.second_copies = !l.has("no-copies");
+    s_.cross_zone_cost = l.number("link", 0);
+    s_.may_hedge = !l.has("no-copies");
     s_.tick = kMs;
     s_.connect_timeout = 250 * kMs;
     s_.keepalive = 30000 * kMs;
     s_.drain_grace = l.span("grace", 500);
-    s_.ask_within = l.span("ask-within", 10000);
-    s_.fall_window = l.span("fall", 1000);
-    s_.warm_within = l.span("warm", 20000);
-    s_.fall_multiple = l.number("multiple", 3);
-    s_.cold_from = l.number("cold", 0.12);
+    s_.discovery_retry_within = l.span("ask-within", 10000);
+    s_.slow_start_window = l.span("fall", 1000);
+    s_.slow_start_duration = l.span("warm", 20000);
+    s_.slow_start_multiple = l.number("multiple", 3);
+    s_.initial_capacity_share = l.number("cold", 0.12);
   }
 
   void workload(const Line& l) {
     Workload w;
-    w.semantics = l.has("redoable")   ? Semantics::redoable
-                  : l.has("labelled") ? Semantics::labelled
-                                      : Semantics::irreversible;
-    w.group = l.has("zone") ? Group::zone : l.has("cell") ? Group::cell : Group::all;
-    w.window = l.span("window", 2000);
-    w.due_time = l.span("due", 600);
+    w.semantics = l.has("redoable")   ? Semantics::idempotent
+                  : l.has("labelled") ? Semantics::idempotency_keyed
+                                      : Semantics::non_idempotent;
+    w.deduplication_scope = l.has("zone") ? DeduplicationScope::zone : l.has("cell") ? DeduplicationScope::cell : DeduplicationScope::all;
+    w.deduplication_window = l.span("window", 2000);
+    w.latency_objective = l.span("due", 600);
     w.time_limit = l.span("limit", 1500);
     w.billing_value = l.number("value", 1);
-    w.overdue_share = l.number("overdue", 0);
+    w.late_value_share = l.number("overdue", 0);
     s_.workloads.push_back(w);
   }
 
@@ -155,7 +155,7 @@
       std::getline(in, mark);
       ListEntry e;
       e.backend = index(backends_, name);
-      e.kind = 0;
+      e.machine_kind = 0;
       e.zone = static_cast<Index>(std::stoul(zone));
       e.cell = std::stol(cell);
       if (mark == "stopping") e.availability = Availability::stopping;
@@ -172,17 +172,17 @@
     a.workload = static_cast<Index>(l.number("workload", 0));
     a.valid_until = now_ + l.span("limit", static_cast<double>(s_.workloads.at(a.workload).time_limit) / kMs);
     a.hint = static_cast<double>(l.span("hint", 0));
-    a.client_repeat = l.has("repeat");
+    a.is_client_retry = l.has("repeat");
     limits_[name] = a.valid_until;
     workloads_[name] = static_cast<int>(a.workload);
     if (l.number("leaves", 0) > 0) later_.push_back({now_ + l.span("leaves", 0), name, -1, {}});
     tell(a);
   }
 
-  void end(const std::string& name, int number, Ending ending, bool final) {
+  void end(const std::string& name, int number, Ending ending, bool is_final) {
     const Out out = outs_.at(name).at(number);
-    HandOffEnded e{index(invocations_, name), number, ending, final || ending == Ending::succeeded, 0};
-    e.took = now_ - sent_.at({name, number});
+    HandOffEnded e{index(invocations_, name), number, ending, is_final || ending == Ending::succeeded, 0};
+    e.elapsed = now_ - sent_.at({name, number});
     ended_.insert({name, number});
     if (ending == Ending::succeeded) ++idle_[out.backend];
     tell(e);
@@ -199,9 +199,9 @@
   }
 
   // Lets time pass: timers, time-outs and the backends' own answers come in their order.
-  void move_to(Tenths to) {
+  void move_to(TenthsOfMs to) {
     for (;;) {
-      Tenths next = to;
+      TenthsOfMs next = to;
       std::size_t first = later_.size();
       for (std::size_t i = 0; i < later_.size(); ++i)
         if (later_[i].at < next || (later_[i].at == next && first == later_.size()))
@@ -238,16 +238,16 @@
   }
 
   void note(const Action& a) {
-    if (a.what == Do::set_timer) timers_.insert(std::max(a.at, now_ + 1));
-    if (a.what == Do::probe) {
+    if (a.what == ActionKind::set_timer) timers_.insert(std::max(a.at, now_ + 1));
+    if (a.what == ActionKind::probe) {
       ++counts_["probe"];
       later_.push_back({now_ + ways_[backends_.at(a.backend)].probe, "", static_cast<int>(a.backend), {}});
     }
-    if (a.what == Do::watch) seen_.push_back("watch"), ++counts_["watch"];
-    if (a.what == Do::recall && ended_.count({invocations_.at(a.invocation), a.number}) == 0)
+    if (a.what == ActionKind::watch_discovery) seen_.push_back("watch"), ++counts_["watch"];
+    if (a.what == ActionKind::cancel && ended_.count({invocations_.at(a.invocation), a.number}) == 0)
       later_.push_back({now_ + 1, invocations_.at(a.invocation), a.number, Ending::recalled});
-    const bool sends = a.what == Do::hand_off;
-    if (!sends && a.what != Do::reject && a.what != Do::give_up) return;
+    const bool sends = a.what == ActionKind::hand_off;
+    if (!sends && a.what != ActionKind::reject && a.what != ActionKind::give_up) return;
     const std::string name = invocations_.at(a.invocation);
     INFO("invocation " << name);
     REQUIRE(answered_.count(name) == 0);
@@ -272,7 +272,7 @@
       seen_.push_back("hand-off " + name + " " + backend);
     } else {
       answered_.insert(name);
-      const std::string answer = a.what == Do::reject ? "reject" : "give-up";
+      const std::string answer = a.what == ActionKind::reject ? "reject" : "give-up";
       ++counts_[answer];
       seen_.push_back(answer + " " + name);
     }
@@ -310,17 +310,17 @@
 
   Settings s_;
   std::optional<Decider> decider_;
-  Tenths now_ = kStart;
+  TenthsOfMs now_ = kStart;
   std::vector<std::string> backends_, invocations_;
   std::map<std::string, std::vector<Out>> outs_;
-  std::map<std::string, Tenths> limits_;
+  std::map<std::string, TenthsOfMs> limits_;
   std::map<std::string, int> workloads_;
-  std::map<std::pair<std::string, int>, Tenths> sent_;
+  std::map<std::pair<std::string, int>, TenthsOfMs> sent_;
   std::set<std::pair<std::string, int>> ended_;
   std::set<std::string> answered_;
   std::map<std::string, Way> ways_;
   std::map<std::string, int> counts_, idle_;
-  std::multiset<Tenths> timers_;
+  std::multiset<TenthsOfMs> timers_;
   std::vector<Later> later_;
   std::deque<std::string> seen_;
   int flowed_ = 0, handed_off_ = 0;
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -28,7 +28,7 @@
 using namespace troutstage::net;
 using std::chrono::milliseconds;
 
-inline Moment soon(int ms = 10000) { return Moment::clock::now() + milliseconds(ms); }
+inline TimePoint soon(int ms = 10000) { return TimePoint::clock::now() + milliseconds(ms); }
 
 // A manual event: set by one thread, awaited by another, which may destroy it at once: set() holds what it still needs.
 // Waiting for long fails the test.
@@ -102,7 +102,7 @@
   // Blocks until the other side ends the connection; true if it did.
   bool ended(const Call& call) const {
     while (!stop_)
-      if (std::string bytes; read_some(call.fd, bytes, soon(20)) != Io::late) return true;
+      if (std::string bytes; read_some(call.fd, bytes, soon(20)) != IoResult::late) return true;
     return false;
   }
   bool stopping() const { return stop_; }
@@ -110,7 +110,7 @@
  private:
   void accept_all() {
     while (!stop_) {
-      if (wait_readable(listener_.get(), soon(5)) != Io::done) continue;
+      if (wait_readable(listener_.get(), soon(5)) != IoResult::done) continue;
       const int fd = ::accept(listener_.get(), nullptr, nullptr);
       if (fd >= 0) threads_.run([this, fd, n = connections_++] { serve(Fd(fd), n); });
     }
@@ -143,15 +143,15 @@
         bytes.erase(0, end + 4 + static_cast<std::size_t>(*size));
         continue;
       }
-      const Io io = read_some(fd.get(), bytes, soon(20));
-      if (io == Io::ended || io == Io::broken) return;
+      const IoResult io = read_some(fd.get(), bytes, soon(20));
+      if (io == IoResult::ended || io == IoResult::broken) return;
     }
   }
   // Half an answer, or one that says so.
   static bool close_after(const std::string& out) {
     const std::size_t end = out.find("\r\n\r\n");
     const auto head = end == out.npos ? std::nullopt : parse_head(std::string_view(out).substr(0, end + 4));
-    return !head || head->lists("Connection", "close") ||
+    return !head || head->has_list_token("Connection", "close") ||
            out.size() < end + 4 + static_cast<std::size_t>(*parse_digits(head->value("Content-Length")));
   }
 
@@ -159,11 +159,11 @@
   Fd listener_;
   std::atomic<bool> stop_{false};
   std::atomic<int> calls_{0}, connections_{0};
-  Threads threads_{2048};  // one for each connection, of which one stand-in may have as many as a test has servers
+  ThreadPool threads_{2048};  // one for each connection, of which one stand-in may have as many as a test has servers
 };
 
 inline std::string ok(const std::string& body) {
-  return response_head(200, "text/plain", body.size(), true) + body;
+  return format_response_head(200, "text/plain", body.size(), true) + body;
 }
 inline Server::Handler always(const std::string& bytes) {
   return [bytes](const Server::Call&) { return bytes; };
@@ -227,11 +227,11 @@
       return at == call.head.npos ? -1 : std::stoll(call.head.substr(at + key.size()));
     };
     const std::int64_t index = figure("index="), wait = std::max<std::int64_t>(0, figure("wait="));
-    const Moment until = soon(static_cast<int>(wait));
+    const TimePoint until = soon(static_cast<int>(wait));
     std::unique_lock held(lock_);
     heard_ = std::max(heard_, index);
     changed_.notify_all();
-    while (version_ <= index && Moment::clock::now() < until && !call.server.stopping()) changed_.wait_for(held, milliseconds(20));
+    while (version_ <= index && TimePoint::clock::now() < until && !call.server.stopping()) changed_.wait_for(held, milliseconds(20));
     return ok(version_ > index ? text_ : list(index, false, {}));
   }
 
@@ -291,9 +291,9 @@
   int exit_code(milliseconds within = std::chrono::seconds(60)) {
     const pid_t id = std::exchange(id_, 0);
     int status = -1;
-    const Moment limit = Moment::clock::now() + within;
+    const TimePoint limit = TimePoint::clock::now() + within;
     pid_t ended = 0;
-    while ((ended = ::waitpid(id, &status, WNOHANG)) == 0 && Moment::clock::now() < limit) std::this_thread::sleep_for(milliseconds(2));
+    while ((ended = ::waitpid(id, &status, WNOHANG)) == 0 && TimePoint::clock::now() < limit) std::this_thread::sleep_for(milliseconds(2));
     if (ended == 0) {
       ::kill(id, SIGKILL);
       ended = ::waitpid(id, &status, 0);
@@ -349,7 +349,7 @@
     REQUIRE(::listen(listener_.get(), 0) == 0);
     const sockaddr_in here = parse_address(address());
     do fill_.push_back(new_socket());
-    while (fill_.size() < 64 && connect_to(fill_.back().get(), here, soon(100)) == Io::done);
+    while (fill_.size() < 64 && connect_to(fill_.back().get(), here, soon(100)) == IoResult::done);
     REQUIRE(fill_.size() < 64);
   }
   ~Deaf() {
@@ -361,10 +361,10 @@
     fill_.clear();
     hears_ = std::thread([this] {
       while (!stop_) {
-        if (wait_readable(listener_.get(), soon(5)) != Io::done) continue;
+        if (wait_readable(listener_.get(), soon(5)) != IoResult::done) continue;
         const Fd fd(::accept(listener_.get(), nullptr, nullptr));
         std::string bytes;
-        if (!fd || read_some(fd.get(), bytes, soon()) != Io::done) continue;
+        if (!fd || read_some(fd.get(), bytes, soon()) != IoResult::done) continue;
         ++requests_;
         write_all(fd.get(), ok("heard at last"), soon());
       }
@@ -383,37 +383,37 @@
 class Visitor {
  public:
   explicit Visitor(const std::string& address) : fd_(new_socket()), in_(fd_.get()) {
-    REQUIRE(connect_to(fd_.get(), parse_address(address), soon()) == Io::done);
+    REQUIRE(connect_to(fd_.get(), parse_address(address), soon()) == IoResult::done);
   }
   explicit Visitor(const Node& node) : Visitor("127.0.0.1:" + std::to_string(node.port())) {}
-  void send(const std::string& bytes) { REQUIRE(write_all(fd_.get(), bytes, soon()) == Io::done); }
-  Got receive(Response& r, std::size_t most = kMostBody) { return read_response(in_, soon(), r, most); }
+  void send(const std::string& bytes) { REQUIRE(write_all(fd_.get(), bytes, soon()) == IoResult::done); }
+  ReadResult receive(Response& r, std::size_t most = kMaxShortAnswerBytes) { return read_response(in_, soon(), r, most); }
   bool tries(const std::string& bytes) {  // false: the connection ended
     Response r;
     const std::size_t half = bytes.size() / 2;
-    return write_all(fd_.get(), bytes.substr(0, half), soon()) == Io::done &&
-           write_all(fd_.get(), bytes.substr(half), soon()) == Io::done &&
-           read_response(in_, soon(), r) == Got::whole;
+    return write_all(fd_.get(), bytes.substr(0, half), soon()) == IoResult::done &&
+           write_all(fd_.get(), bytes.substr(half), soon()) == IoResult::done &&
+           read_response(in_, soon(), r) == ReadResult::whole;
   }
   Response ask(const std::string& bytes) {
     send(bytes);
     Response r;
-    REQUIRE(receive(r) == Got::whole);
+    REQUIRE(receive(r) == ReadResult::whole);
     return r;
   }
   std::string word() {
     std::string bytes;
-    REQUIRE(read_some(fd_.get(), bytes, soon()) == Io::done);
+    REQUIRE(read_some(fd_.get(), bytes, soon()) == IoResult::done);
     return bytes;
   }
   // How long ago the last bytes came, whenever they were read.
   milliseconds since_last_byte() const {
-    const auto known = since_last_bytes(fd_.get());
+    const auto known = time_since_last_receive(fd_.get());
     REQUIRE(known);
     return *known;
   }
   void leave() { fd_.reset(); }
-  bool ended() { return wait_readable(fd_.get(), soon()) == Io::done && !still_quiet(fd_.get()); }
+  bool ended() { return wait_readable(fd_.get(), soon()) == IoResult::done && !is_reusable(fd_.get()); }
 
  private:
   Fd fd_;
--- a/tests/standstill_test.cpp
+++ b/tests/standstill_test.cpp
@@ -26,8 +26,8 @@
   std::string read_until(std::string_view wanted) {
     std::string all;
     char bytes[4096];
-    for (const Moment limit = soon(); Moment::clock::now() < limit && all.find(wanted) == all.npos;) {
-      if (wait_readable(read_.get(), soon(20)) != Io::done) continue;
+    for (const TimePoint limit = soon(); TimePoint::clock::now() < limit && all.find(wanted) == all.npos;) {
+      if (wait_readable(read_.get(), soon(20)) != IoResult::done) continue;
       const ssize_t n = ::read(read_.get(), bytes, sizeof bytes);
       if (n > 0) all.append(bytes, static_cast<std::size_t>(n));
     }
@@ -58,7 +58,7 @@
   CHECK(node.program().exit_code(kKill) == 0);
   for (auto& visitor : visitors) {
     Response r;
-    CHECK(visitor->receive(r) == Got::whole);
+    CHECK(visitor->receive(r) == ReadResult::whole);
   }
 }
 
@@ -108,7 +108,7 @@
   REQUIRE(::mkfifo(path.c_str(), 0600) == 0);  // opened for reading it waits for somebody who writes
   node.program().signal(SIGHUP);
   const Fd writer = [&] {  // can be opened at once only while the node waits for it
-    for (const Moment limit = soon(); Moment::clock::now() < limit; std::this_thread::yield())
+    for (const TimePoint limit = soon(); TimePoint::clock::now() < limit; std::this_thread::yield())
       if (Fd fd(::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC)); fd) return fd;
     return Fd();
   }();
@@ -120,8 +120,8 @@
   SECTION("nor a later one of the same kind") {
     std::filesystem::rename(kept, path);
     node.program().signal(SIGHUP);
-    const Moment limit = soon();
-    while (counter(counters_of(node), "reloads") != 1 && Moment::clock::now() < limit) std::this_thread::yield();
+    const TimePoint limit = soon();
+    while (counter(counters_of(node), "reloads") != 1 && TimePoint::clock::now() < limit) std::this_thread::yield();
     CHECK(counter(counters_of(node), "reloads") == 1);
     node.program().signal(SIGTERM);
     CHECK(node.program().exit_code(kKill) == 0);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -58,50 +58,50 @@
 
 int asked(const std::string& mgmt, const std::string& call) {
   Fd fd = new_socket();
-  if (connect_to(fd.get(), parse_address(mgmt), soon()) != Io::done) return 0;
+  if (connect_to(fd.get(), parse_address(mgmt), soon()) != IoResult::done) return 0;
   Reader in(fd.get());
   Response r;
   write_all(fd.get(), call + " HTTP/1.1\r\n\r\n", soon());
-  return read_response(in, soon(), r) == Got::whole ? r.status : 0;
+  return read_response(in, soon(), r) == ReadResult::whole ? r.status : 0;
 }
 void await_ready(const std::string& mgmt) {
-  const Moment limit = soon(20000);
-  while (asked(mgmt, "GET /v1/readyz") != 200) REQUIRE(Moment::clock::now() < limit);
+  const TimePoint limit = soon(20000);
+  while (asked(mgmt, "GET /v1/readyz") != 200) REQUIRE(TimePoint::clock::now() < limit);
 }
 
 }  // namespace
 
 TEST_CASE("there are two places for one node's processes, and each is free once its process is gone", "[upgrade]") {
   Folder folder;
-  auto first = std::make_unique<Sibling>(folder.path, "n/0");
+  auto first = std::make_unique<ProcessPair>(folder.path, "n/0");
   CHECK_FALSE(first->is_successor());
-  CHECK_FALSE(first->other_lives());
-  auto second = std::make_unique<Sibling>(folder.path, "n/0");
+  CHECK_FALSE(first->is_other_running());
+  auto second = std::make_unique<ProcessPair>(folder.path, "n/0");
   CHECK(second->is_successor());
-  CHECK(first->other_lives());
-  CHECK_THROWS_AS(Sibling(folder.path, "n/0"), std::runtime_error);
-  CHECK_FALSE(Sibling(folder.path, "n1").is_successor());  // another node's
+  CHECK(first->is_other_running());
+  CHECK_THROWS_AS(ProcessPair(folder.path, "n/0"), std::runtime_error);
+  CHECK_FALSE(ProcessPair(folder.path, "n1").is_successor());  // another node's
   first.reset();
-  CHECK_FALSE(second->other_lives());
-  Sibling third(folder.path, "n/0");
+  CHECK_FALSE(second->is_other_running());
+  ProcessPair third(folder.path, "n/0");
   CHECK(third.is_successor());
-  CHECK(second->other_lives());
+  CHECK(second->is_other_running());
 }
 
 TEST_CASE("what both processes take is kept under one limit, and a dead one's share is free", "[upgrade]") {
   Folder folder;
-  auto one = std::make_unique<Sibling>(folder.path, "n");
-  Sibling two(folder.path, "n");
-  REQUIRE(one->other_lives());
-  Budget here(10, 6, 8, one->ledger()), there(10, 6, 8, two.ledger());
-  for (int i = 0; i < 4; ++i) CHECK(here.take(Side::clients) == Budget::Took::yes);
-  for (int i = 0; i < 4; ++i) CHECK(there.take(Side::clients) == Budget::Took::yes);
-  for (int i = 0; i < 2; ++i) CHECK(there.take(Side::backends) == Budget::Took::yes);
-  CHECK(here.take(Side::backends) == Budget::Took::all_full);
+  auto one = std::make_unique<ProcessPair>(folder.path, "n");
+  ProcessPair two(folder.path, "n");
+  REQUIRE(one->is_other_running());
+  ConnectionBudget here(10, 6, 8, one->shared_usage()), there(10, 6, 8, two.shared_usage());
+  for (int i = 0; i < 4; ++i) CHECK(here.take(Side::clients) == ConnectionBudget::TakeResult::granted);
+  for (int i = 0; i < 4; ++i) CHECK(there.take(Side::clients) == ConnectionBudget::TakeResult::granted);
+  for (int i = 0; i < 2; ++i) CHECK(there.take(Side::backends) == ConnectionBudget::TakeResult::granted);
+  CHECK(here.take(Side::backends) == ConnectionBudget::TakeResult::all_full);
   here.give_back(Side::clients);
-  CHECK(there.take(Side::backends) == Budget::Took::yes);
-  Bytes some(100, one->ledger()), more(100, two.ledger());
-  Bytes::Hold a(some), b(more);
+  CHECK(there.take(Side::backends) == ConnectionBudget::TakeResult::granted);
+  BodyBytesBudget some(100, one->shared_usage()), more(100, two.shared_usage());
+  BodyBytesBudget::Reservation a(some), b(more);
   CHECK(a.take(70));
   CHECK_FALSE(b.take(31));
   CHECK(b.take(30));
@@ -110,12 +110,12 @@
     std::atomic<int> taken{0};
     std::atomic<bool> over{false};
     std::vector<std::thread> threads;
-    Ledger alone;
-    Budget few(5, 5, 5, alone);
+    SharedUsage alone;
+    ConnectionBudget few(5, 5, 5, alone);
     for (int t = 0; t < 4; ++t)
       threads.emplace_back([&] {
         for (int i = 0; i < 2000; ++i)
-          if (few.take(Side::clients) == Budget::Took::yes) {
+          if (few.take(Side::clients) == ConnectionBudget::TakeResult::granted) {
             if (++taken > 5) over = true;
             --taken;
             few.give_back(Side::clients);
@@ -129,7 +129,7 @@
 TEST_CASE("with all places taken by the other process a new client ends no earlier one unheard", "[upgrade]") {
   // Each new connection was given room by closing the one that had come before it and had yet to ask.
   Folder folder;
-  Sibling other(folder.path, "n0");
+  ProcessPair other(folder.path, "n0");
   Server backend(always(ok("done")));
   Server discovery(Platform::lists({backend.address()}));
   Fd listener = high_listener();
@@ -137,7 +137,7 @@
                                      "127.0.0.1:" + std::to_string(port_of(listener.get()))));
   c.passed_socket = ::dup(listener.get());
   c.scratch = folder.path;
-  other.ledger().mine().side[0] = 100000;
+  other.shared_usage().mine().side[0] = 100000;
   const auto made = std::make_unique<Node>(std::move(c));
   Node& node = *made;
   node.start();
@@ -174,12 +174,12 @@
     clients.emplace_back([&] {
       while (!enough) {  // no check in here: what it throws would end all tests
         const Fd fd = new_socket();
-        if (connect_to(fd.get(), parse_address(platform.address), soon()) != Io::done) ++cut;
+        if (connect_to(fd.get(), parse_address(platform.address), soon()) != IoResult::done) ++cut;
         Reader in(fd.get());
         for (bool keeps = true; keeps && !enough;) {
           Response r;
-          const bool whole = write_all(fd.get(), request("view", "x", 20000), soon()) == Io::done &&
-                             read_response(in, soon(), r) == Got::whole;
+          const bool whole = write_all(fd.get(), request("view", "x", 20000), soon()) == IoResult::done &&
+                             read_response(in, soon(), r) == ReadResult::whole;
           ++(!whole ? cut : r.status == 200 ? answered : rejected);
           keeps = whole && r.keep_alive;
         }
