--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,12 +1,18 @@
-// Every decision of a node: which backend an invocation is handed to, how often, and what its client is told.
+// Implements Decider (src/decide.h): which backend each invocation is handed to, how many hand-offs it gets,
+// and which final answer its client receives.
 //
-// How to call it: make one Decider per node from its Settings, then give decide() each event in the order of
-// its arrival with the time it came in, and carry out the actions it returns before the next call. The
-// interface is src/decide.h; docs/design.md tells what is kept of the source's design and where it is left.
+// docs/design.md says which parts of the original design are kept and where this implementation departs from
+// it.
 //
-// Each of the four rules is kept at one place that every send and every answer passes:
-//   1 one answer in time   answer()          3 drains kept       may_go_to()
-//   2 no double effect     may_repeat_at()   4 gentle to cold    within_cold_budget()
+// The implementation is single-threaded, does no I/O and reads no clock: every time comes with an event. All
+// random draws come from the seed in Settings, so a sequence of events always yields the same actions.
+//
+// Four rules hold for every action. One function enforces each rule, and every hand-off or every final answer
+// passes through it:
+//   1 every invocation is answered in time   give_final_answer()
+//   2 no invocation takes effect twice       may_repeat_at()
+//   3 no hand-off to a draining backend      may_send_to()
+//   4 no overload of a backend in slow start within_slow_start_budget()
 #include "decide.h"
 
 #include <algorithm>
@@ -22,7 +28,8 @@
 namespace troutstage {
 namespace {
 
-// Sums over the last N spans of time, in buckets that are used again.
+// Sums amounts over the last N spans of time. Each span has one bucket in a ring buffer; add() and total()
+// first clear the buckets that are older than N spans.
 template <int N>
 class SlidingSum {
  public:
@@ -45,9 +52,9 @@
   void advance_to(TenthsOfMs now) {
     const std::int64_t bucket = now / span_;
     if (bucket - newest_bucket_ >= N) clear();
-    for (std::int64_t b = std::max(newest_bucket_ + 1, bucket - N + 1); b <= bucket; ++b) {
-      total_ -= sums_[b % N];
-      sums_[b % N] = 0;
+    for (std::int64_t expired = std::max(newest_bucket_ + 1, bucket - N + 1); expired <= bucket; ++expired) {
+      total_ -= sums_[expired % N];
+      sums_[expired % N] = 0;
     }
     newest_bucket_ = std::max(newest_bucket_, bucket);
   }
@@ -58,107 +65,137 @@
 };
 
 constexpr TenthsOfMs kSecond = 10000;
-constexpr double kInitialFleetLimit = 10, kMinFleetLimit = 2, kMaxBackendLimit = 1000;  // a backend, all nodes together
-constexpr double kTargetLateShare = 0.1;  // the limit settles where so many answers take longer than they should
-constexpr double kOutlierSuccessRatio = 0.8;  // a doubtful backend must be drawn to reach this part of the fleet's success
-constexpr double kMinRunProbability = 0.001;         // what is less likely than this is no chance
-constexpr double kOwnZoneFillLimit = 0.35;        // own-zone backends fuller than this are like any other
-constexpr double kSlowObjectiveShare = 0.5;           // ... than this part of the due time
-constexpr double kNodeTargetLateShare = 0.18;        // and the limit of the node settles at this share
-constexpr double kLimitStep = 0.3;             // how far one late answer moves it
-constexpr int kMaxProbeRounds = 2;             // pairs probed for an invocation
-constexpr double kMaxQueueWaitShare = 0.06;            // a backend has room while one waits there for less of the due time
-constexpr double kBusyUtilization = 0.85;            // or while less of its cores is in use
-constexpr std::size_t kMinSubsetSize = 4;  // two choices and two to spare
-constexpr double kSubsetPerInFlight = 3.5;           // members for each invocation that is usually in flight
-constexpr double kHedgeLatencyMultiple = 3;               // a copy goes out after so many times what is usual
-constexpr TenthsOfMs kMinAllowanceDivisor = 4;      // one of so many parts of a short limit is the most that is kept back
-constexpr TenthsOfMs kMaxAnswerGap = 2500;      // between two pieces of an answer that still comes
-constexpr int kMaxDraws = 12;                // candidates drawn before all are looked at
-
-// How hand-offs ended lately.
+// Concurrency limits of one backend. The first two are totals for all nodes and are divided by the number of
+// nodes; the third is the most that one node allows.
+constexpr double kInitialFleetLimit = 10, kMinFleetLimit = 2, kMaxBackendLimit = 1000;
+// The concurrency limit of a backend settles where this share of its answers is slow (see slow_threshold()).
+constexpr double kTargetLateShare = 0.1;
+// A backend with recent failures is ready only if a draw from its success rate reaches this part of the
+// success rate of all backends.
+constexpr double kOutlierSuccessRatio = 0.8;
+// A run of failures less likely than this shows that the backend has changed; a more likely run may be
+// chance.
+constexpr double kMinRunProbability = 0.001;
+// Backends in the zone of this node are preferred while their hand-offs in flight are below this share of
+// their concurrency limit.
+constexpr double kOwnZoneFillLimit = 0.35;
+// An answer is slow if it takes longer than this share of the latency objective.
+constexpr double kSlowObjectiveShare = 0.5;
+// The concurrency limit of the node settles where this share of the answers of all backends is slow.
+constexpr double kNodeTargetLateShare = 0.18;
+// How far one late answer moves a limit, as a share of the limit.
+constexpr double kLimitStep = 0.3;
+constexpr int kMaxProbeRounds = 2;  // most pairs of backends that are probed for one invocation
+// A backend has capacity while the expected wait in its queue is below this share of the latency objective.
+constexpr double kMaxQueueWaitShare = 0.06;
+// A backend also has capacity while the utilization of its cores is below this.
+constexpr double kBusyUtilization = 0.85;
+constexpr std::size_t kMinSubsetSize = 4;  // two candidates for each hand-off and two in reserve
+// Backends in the subset for each hand-off that is usually in flight.
+constexpr double kSubsetPerInFlight = 3.5;
+// A hedged request is sent after this multiple of the mean latency.
+constexpr double kHedgeLatencyMultiple = 3;
+// The abandon check comes at most 1/kMinAllowanceDivisor of the time limit of an invocation before the limit.
+constexpr TenthsOfMs kMinAllowanceDivisor = 4;
+// An answer counts as still arriving while its last piece is no older than this.
+constexpr TenthsOfMs kMaxAnswerGap = 2500;
+constexpr int kMaxDraws = 12;  // random draws before all candidates are checked in turn
+
+// Successes and failures of hand-offs in the last 8 seconds.
 struct Health {
-  Health() { good.set_span(kSecond), bad.set_span(kSecond); }
-  SlidingSum<8> good, bad;
-  int consecutive_failures = 0;  // how many of the last ones in a row ended badly
+  Health() { successes.set_span(kSecond), failures.set_span(kSecond); }
+  SlidingSum<8> successes, failures;
+  int consecutive_failures = 0;  // failures since the last success
 };
 
+// A backend as this node sees it. Work is in tenths of a millisecond.
 struct Backend {
   bool is_known = false;
-  bool is_unavailable = true;  // draining, gone or not listed (yet)
-  bool listed = false;       // else its index is released once nothing refers to it
-  int held = 0;              // hand-offs to it that invocations still remember
+  bool is_unavailable = true;    // draining, deleted or not in the list (yet)
+  bool is_listed = false;        // false: the index is released as soon as nothing refers to it
+  int remembered_hand_offs = 0;  // hand-offs in the records of invocations that are not forgotten yet
   Index machine_kind = kNone, zone = kNone;
   std::int64_t cell = -1;
   double weight = 1;
   TenthsOfMs started_at = 0;
-  int hand_offs_in_flight = 0;       // this node's own hand-offs in flight
-  double concurrency_limit = 0;  // how many of them may be in flight
+  int hand_offs_in_flight = 0;   // hand-offs of this node to it that have not ended
+  double concurrency_limit = 0;  // most hand-offs of this node in flight, set by update_limits()
   Health health;
-  std::vector<Health> workload_health;  // the same, each by itself: one may hang where the others are well
+  // Health by workload: one workload may hang at a backend that answers the others well.
+  std::vector<Health> workload_health;
   int probes_in_flight = 0;
-  double told = -1;                      // what it holds for its size, as the last probe told; -1: not told
-  double sent_since_report = 0;  // of this node's own, since then
+  // Invocations of all nodes at the backend, divided by its weight: from the last probe, plus what this node
+  // has sent since; -1: unknown.
+  double reported_load = -1;
+  double sent_since_report = 0;  // part of reported_load that this node has sent since the report
   TenthsOfMs reported_at = 0;
-  int idle = 0;                          // open connections of this node that nothing uses
-  TenthsOfMs idle_connections_until = 0;                 // when they close by themselves
-  bool running = false, in_subset = false;  // in the list; of those that this node keeps to
-  SlidingSum<16> work_done;                         // work this node got done here
-  TenthsOfMs next_draw_at = 0;                 // cold: when to draw next whether it may be sent one at all
-  bool drawn = false;
-  SlidingSum<16> slow_start_work_sent;  // work this node sent here, over the length of the fall window
+  int idle_connections = 0;                    // open connections of this node that carry no request
+  TenthsOfMs idle_connections_until = 0;       // when the keep-alive limit closes them
+  bool is_running = false, in_subset = false;  // listed as running; in subset_
+  SlidingSum<16> work_done;                    // work of this node that the backend has finished
+  // In slow start: when to draw next whether this node may send one invocation per window (see
+  // within_slow_start_budget()).
+  TenthsOfMs next_draw_at = 0;
+  bool is_draw_won = false;
+  // Work of this node sent in slow start, over the slow-start window.
+  SlidingSum<16> slow_start_work_sent;
 };
 
-enum class Execution { in_flight, maybe, never };
+// Whether a backend has run a hand-off.
+enum class Execution { in_flight, may_have_run, never_ran };
 
+// One hand-off: an attempt of an invocation at one backend.
 struct HandOff {
   Index backend = kNone;
-  TenthsOfMs sent = 0;
+  TenthsOfMs sent_at = 0;
   double work = 0;
   int in_flight_before = 0;
   bool new_connection = false;
-  double told = -1;
+  double reported_load = -1;
   Execution execution = Execution::in_flight;
-  TenthsOfMs last_progress_at = INT64_MIN / 2;  // when a piece of its answer came last
-  bool was_abandoned = false;  // called back since its invocation's time was over
+  TenthsOfMs last_progress_at = INT64_MIN / 2;  // when the last piece of its answer arrived
+  bool was_abandoned = false;                   // cancelled by abandon_if_unlikely()
 };
 
+// An invocation from its arrival until its final answer is given and all of its hand-offs have ended.
 struct Invocation {
-  bool is_index_used = false;  // the index is in use
-  bool held = false;  // an answer is still owed
+  bool is_index_used = false;  // from the arrival to the action `forget`
+  bool is_open = false;        // has no final answer yet
   bool is_answer_streaming = false;
   bool has_hint = false;
   bool is_client_retry = false;
-  bool has_streaming_body = false, is_body_consumed = false;  // its body: still coming, and gone
-  bool is_queued = false;  // held with nothing out, for a place at a backend
+  // The body is still arriving; the body cannot be sent again.
+  bool has_streaming_body = false, is_body_consumed = false;
+  bool is_queued = false;  // has no hand-off in flight and waits in queue_
   Index workload = 0;
   TenthsOfMs arrived = 0, valid_until = 0;
   double work = 0;
   int hand_offs_in_flight = 0;
-  int probe_rounds = 0, max_hand_offs = 1;              // hand-offs that it may have
-  std::array<Index, 2> pair{kNone, kNone};  // whose probes are waited for
-  TenthsOfMs probe_until = 0;                   // how long; 0: not at all
-  TenthsOfMs hedge_at = 0;                       // when a second copy may go out; 0: not at all
-  TenthsOfMs abandon_check_at = 0;                   // when it is answered unless its attempts are likely to be; 0: not at all
-  std::uint32_t generation = 0;                   // tells this use of the index from earlier ones
+  int probe_rounds = 0, max_hand_offs = 1;  // pairs probed so far; most hand-offs, as set at its arrival
+  std::array<Index, 2> probed_pair{kNone, kNone};  // backends whose probes the invocation waits for
+  TenthsOfMs probe_until = 0;                      // end of the wait for probes; 0: does not wait
+  TenthsOfMs hedge_at = 0;                         // when a hedged request may be sent; 0: never
+  TenthsOfMs abandon_check_at = 0;                 // when abandon_if_unlikely() runs; 0: never
+  std::uint32_t generation = 0;                    // distinguishes uses of the same index, for timers
   std::vector<HandOff> hand_offs;
 };
 
 }  // namespace
 
+// The state behind Decider. `now_` is the time of the current event.
 class Decider::Impl {
  public:
-  Impl(const Settings& s, TenthsOfMs now)
-      : random_(s.seed), zone_(s.zone), answer_margin_(s.tick + 1),
-        // Half a bucket more than the window is counted, and some room is left for chance.
-        window_bucket_(s.slow_start_window / 15 + 1) {
-    apply_settings(s);
+  Impl(const Settings& settings, TenthsOfMs now)
+      : random_(settings.seed), zone_(settings.zone), answer_margin_(settings.tick + 1),
+        // 16 buckets of 1/15 of the window: half a bucket more than the window is counted on average.
+        window_bucket_(settings.slow_start_window / 15 + 1) {
+    apply_settings(settings);
     mean_latency_ = mean_work_ = initial_latency_guess();
     recent_starts_.set_span(kSecond / 10);
-    for (SlidingSum<8>* r : {&recent_connects_, &recent_connect_failures_}) r->set_span(kSecond);
-    fleet_health_by_workload_.resize(s.workloads.size());
-    answer_probability_.resize(s.workloads.size());
-    if (s.is_discovery_on_request) request_list(now);
+    for (SlidingSum<8>* counter : {&recent_connects_, &recent_connect_failures_}) counter->set_span(kSecond);
+    fleet_health_by_workload_.resize(settings.workloads.size());
+    answer_probability_.resize(settings.workloads.size());
+    if (settings.is_discovery_on_request) request_list(now);
   }
 
   const std::vector<Action>& decide(TenthsOfMs now, const Event& event) {
@@ -172,31 +209,35 @@
   }
 
  private:
+  // The slow-start budget uses this part of the permitted multiple, as a margin for chance.
   static constexpr double kSlowStartSafetyFactor = 0.7;
 
-  void apply_settings(const Settings& s) {
-    max_hand_offs_ = s.max_hand_offs;
-    may_hedge_ = s.may_hedge;
-    pause_allowance_ = s.pause_allowance;
-    may_cancel_ = s.may_cancel;
-    may_probe_ = s.may_probe;
-    prefers_own_zone_ = s.may_probe && s.cross_zone_cost > s.connect_cost;
-    nodes_ = std::max(1, s.nodes);
+  void apply_settings(const Settings& settings) {
+    max_hand_offs_ = settings.max_hand_offs;
+    may_hedge_ = settings.may_hedge;
+    pause_allowance_ = settings.pause_allowance;
+    may_cancel_ = settings.may_cancel;
+    may_probe_ = settings.may_probe;
+    prefers_own_zone_ = settings.may_probe && settings.cross_zone_cost > settings.connect_cost;
+    nodes_ = std::max(1, settings.nodes);
     initial_limit_ = kInitialFleetLimit / nodes_;
     min_limit_ = kMinFleetLimit / nodes_;
-    max_retry_after_ = s.client_honors_retry_after ? s.max_retry_after : 0;
-    initial_capacity_share_ = s.initial_capacity_share;
-    slow_start_duration_ = s.slow_start_duration;
-    slow_start_multiple_ = s.slow_start_multiple * kSlowStartSafetyFactor * s.slow_start_budget_share;
-    discovery_retry_gap_ = std::max<TenthsOfMs>(s.discovery_retry_within / 20, s.tick);
+    max_retry_after_ = settings.client_honors_retry_after ? settings.max_retry_after : 0;
+    initial_capacity_share_ = settings.initial_capacity_share;
+    slow_start_duration_ = settings.slow_start_duration;
+    slow_start_multiple_ =
+        settings.slow_start_multiple * kSlowStartSafetyFactor * settings.slow_start_budget_share;
+    discovery_retry_gap_ = std::max<TenthsOfMs>(settings.discovery_retry_within / 20, settings.tick);
     report_lifetime_ = INT64_MAX;
-    for (const Workload& w : s.workloads) report_lifetime_ = std::min(report_lifetime_, w.latency_objective / 8);
-    keepalive_ = s.keepalive;
-    workloads_ = s.workloads;
+    for (const Workload& workload : settings.workloads)
+      report_lifetime_ = std::min(report_lifetime_, workload.latency_objective / 8);
+    keepalive_ = settings.keepalive;
+    workloads_ = settings.workloads;
   }
   std::vector<double> initial_latency_guess() const {
     std::vector<double> guess;
-    for (const Workload& w : workloads_) guess.push_back(static_cast<double>(w.latency_objective) / 4);
+    for (const Workload& workload : workloads_)
+      guess.push_back(static_cast<double>(workload.latency_objective) / 4);
     return guess;
   }
 
@@ -204,809 +245,971 @@
 
   void handle(const FleetList& list) {
     if (list.form == ListForm::failed) return retry_list_request();
-    if (list.form != ListForm::cached) current_retry_gap_ = 0;  // it answers again
+    if (list.form != ListForm::cached) current_retry_gap_ = 0;  // discovery works again
     if (list.form != ListForm::delta)
-      for (Backend& b : backends_) b.is_unavailable = true, b.listed = false;
-    for (const ListEntry& e : list.entries) {
-      if (e.backend >= backends_.size()) backends_.resize(e.backend + 1);
-      Backend& b = backends_[e.backend];
-      if (!b.is_known || b.started_at != e.started_at) {
-        b.work_done.set_span(window_bucket_ * 4);
-        b.slow_start_work_sent.set_span(window_bucket_);
-        b.work_done.clear();
-        b.health = {};
-        b.workload_health.assign(workloads_.size(), {});
-        b.idle = 0;
-        b.concurrency_limit = initial_limit_;  // all nodes together start with as much, however many they are
+      for (Backend& backend : backends_) backend.is_unavailable = true, backend.is_listed = false;
+    for (const ListEntry& entry : list.entries) {
+      if (entry.backend >= backends_.size()) backends_.resize(entry.backend + 1);
+      Backend& backend = backends_[entry.backend];
+      if (!backend.is_known || backend.started_at != entry.started_at) {
+        backend.work_done.set_span(window_bucket_ * 4);
+        backend.slow_start_work_sent.set_span(window_bucket_);
+        backend.work_done.clear();
+        backend.health = {};
+        backend.workload_health.assign(workloads_.size(), {});
+        backend.idle_connections = 0;
+        // The initial limits of all nodes add up to the same total, however many nodes there are.
+        backend.concurrency_limit = initial_limit_;
       }
-      b.is_known = true;
-      b.is_unavailable = e.availability != Availability::running;
-      b.listed = e.availability != Availability::deleted;
-      b.machine_kind = e.machine_kind;
-      b.zone = e.zone;
-      b.cell = e.cell;
-      b.weight = e.weight;
-      b.started_at = e.started_at;
+      backend.is_known = true;
+      backend.is_unavailable = entry.availability != Availability::running;
+      backend.is_listed = entry.availability != Availability::deleted;
+      backend.machine_kind = entry.machine_kind;
+      backend.zone = entry.zone;
+      backend.cell = entry.cell;
+      backend.weight = entry.weight;
+      backend.started_at = entry.started_at;
     }
     running_backends_.clear(), running_in_zone_.clear();
-    std::vector<Index> fresh;
-    std::erase_if(subset_, [this](Index n) { return backends_[n].is_unavailable; });
+    std::vector<Index> new_backends;
+    std::erase_if(subset_, [this](Index index) { return backends_[index].is_unavailable; });
     max_weight_ = 0;
-    for (Index n = 0; n < backends_.size(); ++n) {
-      Backend& b = backends_[n];
-      if (b.is_unavailable) {
-        b.in_subset = b.running = false;
+    for (Index index = 0; index < backends_.size(); ++index) {
+      Backend& backend = backends_[index];
+      if (backend.is_unavailable) {
+        backend.in_subset = backend.is_running = false;
         continue;
       }
-      running_backends_.push_back(n);
-      if (b.zone == zone_) running_in_zone_.push_back(n);
-      if (!b.running) fresh.push_back(n);
-      b.running = true;
-      max_weight_ = std::max(max_weight_, b.weight);
+      running_backends_.push_back(index);
+      if (backend.zone == zone_) running_in_zone_.push_back(index);
+      if (!backend.is_running) new_backends.push_back(index);
+      backend.is_running = true;
+      max_weight_ = std::max(max_weight_, backend.weight);
     }
     if (node_concurrency_limit_ <= 0 && !running_backends_.empty())
       node_concurrency_limit_ = std::max(1.0, initial_limit_ * static_cast<double>(running_backends_.size()));
     warm_measured_bucket_ = -1;
-    add_new_to_subset(fresh);
+    add_new_to_subset(new_backends);
     fill_subset();
     serve_queue();
-    for (Index n = 0; n < backends_.size(); ++n) release_if_gone(n);
-  }
-
-  void handle(const Arrival& a) {
-    if (a.invocation >= invocations_.size()) invocations_.resize(a.invocation + 1);
-    Invocation& v = invocations_[a.invocation];
-    const std::uint32_t generation = v.generation + 1;
-    v = Invocation{};
-    v.generation = generation;
-    v.is_index_used = v.held = true;
-    v.workload = a.workload;
-    v.arrived = std::min(a.arrived, now_);
-    v.valid_until = std::min(a.valid_until, answer_by_);
-    v.is_client_retry = a.is_client_retry;
-    v.max_hand_offs = max_hand_offs_;
-    v.has_streaming_body = a.has_streaming_body;
-    v.has_hint = a.hint > 0;
-    v.work = v.has_hint ? a.hint : mean_latency_[a.workload];
-    mean_work_[a.workload] += (v.work - mean_work_[a.workload]) / 64;
-    at(v.valid_until - answer_margin_, a.invocation);
-    if (a.valid_until <= answer_by_) schedule_abandon_check(a.invocation);  // the end of a stop allows for pauses already
+    for (Index index = 0; index < backends_.size(); ++index) release_if_gone(index);
+  }
+
+  void handle(const Arrival& arrival) {
+    if (arrival.invocation >= invocations_.size()) invocations_.resize(arrival.invocation + 1);
+    Invocation& invocation = invocations_[arrival.invocation];
+    const std::uint32_t generation = invocation.generation + 1;
+    invocation = Invocation{};
+    invocation.generation = generation;
+    invocation.is_index_used = invocation.is_open = true;
+    invocation.workload = arrival.workload;
+    invocation.arrived = std::min(arrival.arrived, now_);
+    invocation.valid_until = std::min(arrival.valid_until, answer_by_);
+    invocation.is_client_retry = arrival.is_client_retry;
+    invocation.max_hand_offs = max_hand_offs_;
+    invocation.has_streaming_body = arrival.has_streaming_body;
+    invocation.has_hint = arrival.hint > 0;
+    invocation.work = invocation.has_hint ? arrival.hint : mean_latency_[arrival.workload];
+    mean_work_[arrival.workload] += (invocation.work - mean_work_[arrival.workload]) / 64;
+    schedule_check(invocation.valid_until - answer_margin_, arrival.invocation);
+    // The deadline of a shutdown already leaves time for a stall of the process.
+    if (arrival.valid_until <= answer_by_) schedule_abandon_check(arrival.invocation);
     fill_subset();
-    if (!hand_off(a.invocation)) enqueue_or_answer(a.invocation);
-  }
-
-  void handle(const HandOffEnded& told) {
-    if (!is_known_hand_off(told.invocation, told.number)) return;
-    HandOffEnded e = told;
-    Invocation& v = invocations_[e.invocation];
-    HandOff& h = v.hand_offs[e.number];
-    record_answer_time(v, e);
-    // Its backend had no less time than one that is waited for to the limit.
-    if (h.was_abandoned && e.ending == Ending::recalled) e.ending = Ending::timed_out;
-    Backend& b = backends_[h.backend];
-    if (h.execution != Execution::in_flight) return;
-    --b.hand_offs_in_flight;
-    --v.hand_offs_in_flight;
-    const bool never =
-        e.ending == Ending::turned_away || e.ending == Ending::unreachable || e.ending == Ending::never_sent;
-    h.execution = never ? Execution::never : Execution::maybe;
-    v.is_body_consumed = v.is_body_consumed || e.is_body_consumed;
+    if (!try_hand_off(arrival.invocation)) enqueue_or_answer(arrival.invocation);
+  }
+
+  void handle(const HandOffEnded& event) {
+    if (!is_known_hand_off(event.invocation, event.number)) return;
+    HandOffEnded ended = event;
+    Invocation& invocation = invocations_[ended.invocation];
+    HandOff& hand_off = invocation.hand_offs[ended.number];
+    record_answer_time(invocation, ended);
+    // The backend had as much time as one that is waited for up to the limit, so this counts as a time-out.
+    if (hand_off.was_abandoned && ended.ending == Ending::recalled) ended.ending = Ending::timed_out;
+    Backend& backend = backends_[hand_off.backend];
+    if (hand_off.execution != Execution::in_flight) return;
+    --backend.hand_offs_in_flight;
+    --invocation.hand_offs_in_flight;
+    const bool is_never_run = ended.ending == Ending::turned_away || ended.ending == Ending::unreachable ||
+                              ended.ending == Ending::never_sent;
+    hand_off.execution = is_never_run ? Execution::never_ran : Execution::may_have_run;
+    invocation.is_body_consumed = invocation.is_body_consumed || ended.is_body_consumed;
     --total_in_flight_;
-    // What ended without an answer before one would be slow tells nothing of how full a backend is, and a
-    // time-out nothing of its health either: held against a fleet that was well, the short limits of some
-    // clients, or a network that resets one connection in ten, had most others turned away.
-    const bool lost = e.ending == Ending::unreachable || e.ending == Ending::broken;
-    const bool slow = e.elapsed > slow_threshold(v), timed_out = e.ending == Ending::timed_out;
-    if (slow || !(timed_out || lost)) update_limits(b, h, v, e);
-    if (h.told > 0 && (e.ending == Ending::succeeded || timed_out)) update_load_limit(h, v, e);
-    if (slow || !timed_out) update_health(b, v, e);
-    update_connections(b, h, e.ending);
-    if (e.ending == Ending::succeeded) {
-      b.work_done.add(now_, h.work);
-      mean_latency_[v.workload] += (static_cast<double>(e.elapsed) - mean_latency_[v.workload]) / 64;
+    // A hand-off that ends without an answer, before an answer would be slow, says nothing about the load of
+    // the backend. A time-out that early says nothing about its health either. When such endings counted
+    // against a healthy fleet, the short limits of some clients, or a network that resets one connection in
+    // ten, caused most other invocations to be rejected.
+    const bool lost = ended.ending == Ending::unreachable || ended.ending == Ending::broken;
+    const bool slow = ended.elapsed > slow_threshold(invocation),
+               timed_out = ended.ending == Ending::timed_out;
+    if (slow || !(timed_out || lost)) update_limits(backend, hand_off, invocation, ended);
+    if (hand_off.reported_load > 0 && (ended.ending == Ending::succeeded || timed_out))
+      update_load_limit(hand_off, invocation, ended);
+    if (slow || !timed_out) update_health(backend, invocation, ended);
+    update_connections(backend, hand_off, ended.ending);
+    if (ended.ending == Ending::succeeded) {
+      backend.work_done.add(now_, hand_off.work);
+      mean_latency_[invocation.workload] +=
+          (static_cast<double>(ended.elapsed) - mean_latency_[invocation.workload]) / 64;
     }
-    if (e.is_final || e.ending == Ending::succeeded) finish(e.invocation);
-    if (v.held && v.hand_offs_in_flight == 0 && !hand_off(e.invocation)) enqueue_or_answer(e.invocation);
-    forget_if_done(e.invocation);
+    if (ended.is_final || ended.ending == Ending::succeeded) finish(ended.invocation);
+    if (invocation.is_open && invocation.hand_offs_in_flight == 0 && !try_hand_off(ended.invocation))
+      enqueue_or_answer(ended.invocation);
+    forget_if_done(ended.invocation);
     serve_queue();
   }
 
-  void handle(const AnswerStarted& e) {
-    if (is_known_hand_off(e.invocation, e.number)) invocations_[e.invocation].is_answer_streaming = true;
+  void handle(const AnswerStarted& event) {
+    if (is_known_hand_off(event.invocation, event.number))
+      invocations_[event.invocation].is_answer_streaming = true;
   }
 
-  void handle(const AnswerProgress& e) {
-    if (is_known_hand_off(e.invocation, e.number)) invocations_[e.invocation].hand_offs[e.number].last_progress_at = now_;
+  void handle(const AnswerProgress& event) {
+    if (is_known_hand_off(event.invocation, event.number))
+      invocations_[event.invocation].hand_offs[event.number].last_progress_at = now_;
   }
 
-  void handle(const ClientGone& e) {
-    if (e.invocation >= invocations_.size()) return;
-    finish(e.invocation);
-    forget_if_done(e.invocation);
+  void handle(const ClientGone& event) {
+    if (event.invocation >= invocations_.size()) return;
+    finish(event.invocation);
+    forget_if_done(event.invocation);
   }
 
   void handle(const TimerDue&) {}
-  void handle(const ProbeEnded& e) {
-    if (e.backend >= backends_.size()) return;
-    Backend& b = backends_[e.backend];
-    b.probes_in_flight = 0;
-    const LoadReport& r = e.report;
-    const double size = std::max(b.weight, 1e-3);
-    b.told = std::max(-1.0, (r.outstanding >= 0 ? r.outstanding : r.backlog) / size);
-    if (!e.succeeded) b.told = -1;
-    else if (r.utilization >= 0 && r.utilization < kBusyUtilization) b.told = 0;
-    b.reported_at = now_;
-    b.sent_since_report = 0;
-    if (r.backlog > 0 && r.throughput > 0)
-      service_rate_ += (r.throughput / size / kSecond - service_rate_) / (service_rate_ > 0 ? 32 : 1);
-    for (std::size_t n = probing_.size(); n-- > 0;) {
-      const auto [x, y] = invocations_[probing_[n]].pair;
-      if (backends_[x].probes_in_flight == 0 && backends_[y].probes_in_flight == 0) finish_probing(probing_[n]);
+  void handle(const ProbeEnded& event) {
+    if (event.backend >= backends_.size()) return;
+    Backend& backend = backends_[event.backend];
+    backend.probes_in_flight = 0;
+    const LoadReport& load = event.report;
+    const double size = std::max(backend.weight, 1e-3);
+    backend.reported_load = std::max(-1.0, (load.outstanding >= 0 ? load.outstanding : load.backlog) / size);
+    if (!event.succeeded) backend.reported_load = -1;
+    else if (load.utilization >= 0 && load.utilization < kBusyUtilization) backend.reported_load = 0;
+    backend.reported_at = now_;
+    backend.sent_since_report = 0;
+    if (load.backlog > 0 && load.throughput > 0)
+      service_rate_ += (load.throughput / size / kSecond - service_rate_) / (service_rate_ > 0 ? 32 : 1);
+    for (std::size_t position = probing_.size(); position-- > 0;) {
+      const auto [first, second] = invocations_[probing_[position]].probed_pair;
+      if (backends_[first].probes_in_flight == 0 && backends_[second].probes_in_flight == 0)
+        finish_probing(probing_[position]);
     }
   }
 
-  void handle(const NewSettings& e) {
-    apply_settings(*e.settings);
-    // What was learned of a workload stays its own, under whatever number.
-    const auto carry = [&e]<class T>(std::vector<T>& all, std::vector<T> fresh) {
-      for (std::size_t i = 0; i < fresh.size(); ++i)
-        if (e.inherits_from[i] < all.size()) fresh[i] = all[e.inherits_from[i]];
-      all = std::move(fresh);
+  void handle(const NewSettings& event) {
+    apply_settings(*event.settings);
+    // The statistics of a workload stay with it when its index changes.
+    const auto carry = [&event]<class T>(std::vector<T>& all, std::vector<T> initial) {
+      for (std::size_t index = 0; index < initial.size(); ++index)
+        if (event.inherits_from[index] < all.size()) initial[index] = all[event.inherits_from[index]];
+      all = std::move(initial);
     };
     carry(mean_latency_, initial_latency_guess());
     carry(mean_work_, initial_latency_guess());
     carry(fleet_health_by_workload_, std::vector<Health>(workloads_.size()));
     carry(answer_probability_, std::vector<policy::AnswerProbability>(workloads_.size()));
-    for (Backend& b : backends_) carry(b.workload_health, std::vector<Health>(workloads_.size()));
+    for (Backend& backend : backends_) carry(backend.workload_health, std::vector<Health>(workloads_.size()));
   }
 
-  void handle(const ShutdownRequested& e) {
-    answer_by_ = e.answer_by;
-    for (Index i = 0; i < invocations_.size(); ++i) {
-      Invocation& v = invocations_[i];
-      if (!v.held || v.is_answer_streaming || v.valid_until <= answer_by_) continue;
-      v.valid_until = answer_by_;
-      v.abandon_check_at = 0;
-      at(v.valid_until - answer_margin_, i);
+  void handle(const ShutdownRequested& event) {
+    answer_by_ = event.answer_by;
+    for (Index index = 0; index < invocations_.size(); ++index) {
+      Invocation& invocation = invocations_[index];
+      if (!invocation.is_open || invocation.is_answer_streaming || invocation.valid_until <= answer_by_)
+        continue;
+      invocation.valid_until = answer_by_;
+      invocation.abandon_check_at = 0;
+      schedule_check(invocation.valid_until - answer_margin_, index);
     }
   }
 
-  // Draws no chance: being asked changes no decision.
+  // Makes no random draw: the query must not change later decisions.
   void handle(const BackendCounts&) {
-    TenthsOfMs listed = 0;
-    int avoided = 0;
-    for (Backend& b : backends_)
-      if (b.listed) ++listed, avoided += b.is_unavailable || is_outlier(b.health);
-    actions_.push_back({ActionKind::backend_counts, kNone, kNone, avoided, listed});
-  }
-
-  // ---- the rules
-
-  // Rule 1: the one place where an invocation gets its final answer from this node. A rejection is given only
-  // where rule 2 lets the client try again without harm.
-  void give_final_answer(Index i) {
-    Invocation& v = invocations_[i];
-    if (!v.held || v.is_answer_streaming) return;
-    finish(i);
-    // Where clients heed it, they are told to come back when a place is likely to be free.
-    const TenthsOfMs retry_in = std::min(max_retry_after_, workloads_[v.workload].latency_objective / 8);
-    if (may_reject(v)) actions_.push_back({ActionKind::reject, i, kNone, 0, retry_in});
-    else actions_.push_back({ActionKind::give_up, i, kNone, 0, 0});
-    forget_if_done(i);
-  }
-
-  // Nothing is sent for a finished invocation; what is still out is called back: some backends then stop its
-  // work.
-  void finish(Index i) {
-    Invocation& v = invocations_[i];
-    v.held = false;
-    stop_waiting(i);
-    for (std::size_t n = 0; n < v.hand_offs.size(); ++n)
-      if (may_cancel_ && !v.is_answer_streaming && v.hand_offs[n].execution == Execution::in_flight)
-        actions_.push_back({ActionKind::cancel, i, kNone, static_cast<int>(n), 0});
-  }
-
-  // Rule 2: whether the client may be told that trying again is harmless.
-  bool may_reject(const Invocation& v) const {
-    const Workload& w = workloads_[v.workload];
-    return w.semantics == Semantics::idempotent ||
-           (w.semantics == Semantics::idempotency_keyed && w.deduplication_scope == DeduplicationScope::all) ||
-           std::all_of(v.hand_offs.begin(), v.hand_offs.end(),
-                       [](const HandOff& h) { return h.execution == Execution::never; });
-  }
-
-  // Rule 2: whether this invocation may be handed to this backend, given what became of it so far.
-  bool may_repeat_at(const Invocation& v, const Backend& b) const {
-    const Workload& w = workloads_[v.workload];
-    if (v.is_body_consumed || (v.hand_offs_in_flight > 0 && (v.has_streaming_body || !may_hedge_))) return false;  // no body left for it
-    if (now_ + answer_margin_ >= repeat_by(v)) return false;
-    for (const HandOff& h : v.hand_offs) {
-      if (h.execution == Execution::in_flight && &backends_[h.backend] == &b) return false;  // a copy goes elsewhere
-      if (h.execution == Execution::never || w.semantics == Semantics::idempotent) continue;
-      if (w.semantics == Semantics::non_idempotent) return false;
-      const Backend& first = backends_[h.backend];
-      if (w.deduplication_scope == DeduplicationScope::zone && first.zone != b.zone) return false;
-      if (w.deduplication_scope == DeduplicationScope::cell && (first.cell != b.cell || b.cell < 0)) return false;
+    TenthsOfMs listed_count = 0;
+    int avoided_count = 0;
+    for (Backend& backend : backends_)
+      if (backend.is_listed)
+        ++listed_count, avoided_count += backend.is_unavailable || is_outlier(backend.health);
+    actions_.push_back({ActionKind::backend_counts, kNone, kNone, avoided_count, listed_count});
+  }
+
+  // ---- the four rules
+
+  // Rule 1: the only place where the node itself gives the final answer to an invocation: rejected if rule 2
+  // lets the client retry without harm, else given up.
+  void give_final_answer(Index index) {
+    Invocation& invocation = invocations_[index];
+    if (!invocation.is_open || invocation.is_answer_streaming) return;
+    finish(index);
+    // Clients that honor Retry-After are asked to return when a backend is likely to have capacity.
+    const TenthsOfMs retry_in =
+        std::min(max_retry_after_, workloads_[invocation.workload].latency_objective / 8);
+    if (may_reject(invocation)) actions_.push_back({ActionKind::reject, index, kNone, 0, retry_in});
+    else actions_.push_back({ActionKind::give_up, index, kNone, 0, 0});
+    forget_if_done(index);
+  }
+
+  // Closes an invocation: no further hand-off is sent for it, and hand-offs in flight are cancelled, since
+  // some backends then stop working on them.
+  void finish(Index index) {
+    Invocation& invocation = invocations_[index];
+    invocation.is_open = false;
+    stop_waiting(index);
+    for (std::size_t number = 0; number < invocation.hand_offs.size(); ++number)
+      if (may_cancel_ && !invocation.is_answer_streaming &&
+          invocation.hand_offs[number].execution == Execution::in_flight)
+        actions_.push_back({ActionKind::cancel, index, kNone, static_cast<int>(number), 0});
+  }
+
+  // Rule 2: whether the client may be rejected, which tells it that a retry is harmless.
+  bool may_reject(const Invocation& invocation) const {
+    const Workload& workload = workloads_[invocation.workload];
+    return workload.semantics == Semantics::idempotent ||
+           (workload.semantics == Semantics::idempotency_keyed &&
+            workload.deduplication_scope == DeduplicationScope::all) ||
+           std::all_of(invocation.hand_offs.begin(), invocation.hand_offs.end(),
+                       [](const HandOff& hand_off) { return hand_off.execution == Execution::never_ran; });
+  }
+
+  // Rule 2: whether the invocation may be handed to this backend, given how its earlier hand-offs ended.
+  bool may_repeat_at(const Invocation& invocation, const Backend& backend) const {
+    const Workload& workload = workloads_[invocation.workload];
+    if (invocation.is_body_consumed ||
+        (invocation.hand_offs_in_flight > 0 && (invocation.has_streaming_body || !may_hedge_)))
+      return false;  // the body cannot be sent again, or hedging is off
+    if (now_ + answer_margin_ >= repeat_by(invocation)) return false;
+    for (const HandOff& hand_off : invocation.hand_offs) {
+      if (hand_off.execution == Execution::in_flight && &backends_[hand_off.backend] == &backend)
+        return false;  // a hedged request goes to another backend
+      if (hand_off.execution == Execution::never_ran || workload.semantics == Semantics::idempotent) continue;
+      if (workload.semantics == Semantics::non_idempotent) return false;
+      const Backend& earlier = backends_[hand_off.backend];
+      if (workload.deduplication_scope == DeduplicationScope::zone && earlier.zone != backend.zone)
+        return false;
+      if (workload.deduplication_scope == DeduplicationScope::cell &&
+          (earlier.cell != backend.cell || backend.cell < 0))
+        return false;
     }
     return true;
   }
-  // When the window closes within which a labelled one that may have run is sent again. A connection may come up
-  // later than that, so it goes along with the hand-off.
-  TenthsOfMs repeat_by(const Invocation& v) const {
-    const Workload& w = workloads_[v.workload];
-    for (const HandOff& h : v.hand_offs)
-      if (h.execution != Execution::never && w.semantics == Semantics::idempotency_keyed) return h.sent + w.deduplication_window;
+  // The time before which the next hand-off has to be sent: the end of the deduplication window if an
+  // idempotency-keyed invocation may have run, else no limit. The time is part of the hand-off action, since
+  // a connection may come up only after it.
+  TenthsOfMs repeat_by(const Invocation& invocation) const {
+    const Workload& workload = workloads_[invocation.workload];
+    for (const HandOff& hand_off : invocation.hand_offs)
+      if (hand_off.execution != Execution::never_ran && workload.semantics == Semantics::idempotency_keyed)
+        return hand_off.sent_at + workload.deduplication_window;
     return INT64_MAX;
   }
 
-  // Rule 3: nothing goes to a backend that this node was told is draining or gone; the grace is not used.
-  bool may_send_to(const Backend& b) const { return !b.is_unavailable; }
+  // Rule 3: no hand-off goes to a backend that discovery reports as draining or gone, even within the drain
+  // grace period.
+  bool may_send_to(const Backend& backend) const { return !backend.is_unavailable; }
 
-  // Rule 4: all nodes together must not push over a cold backend. Each node sends it at most its own part:
-  // what this node gets done on warm backends of that kind, times what a cold one can do, times the multiple.
-  bool within_slow_start_budget(Backend& b, double work) {
-    const double part = capacity_share(b);
-    if (part >= 1) return true;
-    if (!b.in_subset) return false;  // the nodes that have it as a member share all of it
-    if (b.hand_offs_in_flight >= std::max(1.0, b.concurrency_limit * part))
-      return false;  // what jams takes no more, whatever it took before
+  // Rule 4: all nodes together must not overload a backend in slow start. Each node sends it at most its own
+  // part: the work that this node gets done on warm backends of that machine kind, times the capacity share
+  // of the backend, times the permitted multiple.
+  bool within_slow_start_budget(Backend& backend, double work) {
+    const double capacity = capacity_share(backend);
+    if (capacity >= 1) return true;
+    if (!backend.in_subset) return false;  // the nodes that have it in their subset share all of its budget
+    if (backend.hand_offs_in_flight >= std::max(1.0, backend.concurrency_limit * capacity))
+      return false;  // an overloaded backend gets nothing more, whatever it handled before
     update_warm_throughput();
-    const WarmThroughput& own = b.machine_kind < warm_by_kind_.size() ? warm_by_kind_[b.machine_kind] : warm_total_;
+    const WarmThroughput& own =
+        backend.machine_kind < warm_by_kind_.size() ? warm_by_kind_[backend.machine_kind] : warm_total_;
     double work_done = own.work_done, weight = own.weight;
-    // A rolling deploy can leave no warm backend of the kind. One at a time from each of many nodes then
-    // pushed the new ones over, so others are the measure, and with none at all a few sends a window from all
-    // nodes together.
+    // A rolling deploy can leave no warm backend of the kind. One hand-off at a time from each of many nodes
+    // then overloaded the new backends, so warm backends of other kinds are the measure. Without any warm
+    // backend, all nodes together send a few invocations per window.
     if (weight <= 0) work_done = warm_total_.work_done, weight = warm_total_.weight;
-    if (weight <= 0) work_done = work * 2 * min_limit_ / (slow_start_multiple_ * part), weight = b.weight;
-    const double allowed = slow_start_multiple_ * subset_overlap_factor() * part * work_done * b.weight / weight,
-                 sent = b.slow_start_work_sent.total(now_);
+    if (weight <= 0)
+      work_done = work * 2 * min_limit_ / (slow_start_multiple_ * capacity), weight = backend.weight;
+    const double allowed = slow_start_multiple_ * subset_overlap_factor() * capacity * work_done *
+                           backend.weight / weight,
+                 sent = backend.slow_start_work_sent.total(now_);
     if (sent + work <= allowed) return true;
-    // With many nodes a node's part is less than one invocation: it then draws once a window whether to send
-    // one, so that all nodes together send what they may, not nothing.
+    // With many nodes, the part of one node is less than one invocation. The node then draws once per window
+    // whether to send one, so that all nodes together send what the budget permits and not nothing.
     if (sent > 0 || work <= 0) return false;
-    if (now_ >= b.next_draw_at) {
-      b.next_draw_at = now_ + window_bucket_ * 15;
-      b.drawn = uniform() * work < allowed;
+    if (now_ >= backend.next_draw_at) {
+      backend.next_draw_at = now_ + window_bucket_ * 15;
+      backend.is_draw_won = uniform() * work < allowed;
     }
-    return b.drawn;
+    return backend.is_draw_won;
   }
 
-  // A small one counts as an average one of its workload: told sizes are guesses, and a budget of work that
-  // let only small ones through sent three times as many of them, which pushed backends over (ia7167d,
-  // i5ba5dd).
-  double budgeted_work(const Invocation& v) const { return std::max(v.work, mean_work_[v.workload]); }
+  // The work that an invocation takes from a slow-start budget. A small invocation counts as an average one
+  // of its workload: hints are estimates, and a budget that let only small ones through sent three times as
+  // many of them, which overloaded backends.
+  double budgeted_work(const Invocation& invocation) const {
+    return std::max(invocation.work, mean_work_[invocation.workload]);
+  }
 
-  // Where nodes keep to few backends each, chance makes some a member of more nodes than others: a node's
-  // part is made smaller by one and a half deviations of that number. 1 where all are members of all.
+  // A factor for the part of this node in a slow-start budget. With small subsets, chance puts some backends
+  // into the subsets of more nodes than others: the part shrinks by one and a half standard deviations of
+  // that number of nodes. 1 if every backend is in every subset.
   double subset_overlap_factor() const {
     const double share = static_cast<double>(subset_.size()) / static_cast<double>(running_backends_.size());
     const double nodes = nodes_ * share;
     return nodes / (nodes + 1.5 * std::sqrt(nodes * (1 - share)) + (1 - share));
   }
 
-  // What this node gets done in a window on warm backends, by kind: summed once a bucket, not for each cold
-  // one.
+  // Sums the work that this node gets done per window on warm backends, by machine kind. Runs once per
+  // bucket, not once for each backend in slow start.
   void update_warm_throughput() {
     if (now_ / window_bucket_ == warm_measured_bucket_) return;
     warm_measured_bucket_ = now_ / window_bucket_;
     warm_by_kind_.assign(warm_by_kind_.size(), {});
     warm_total_ = {};
-    for (Index n : running_backends_) {
-      Backend& b = backends_[n];
-      if (capacity_share(b) < 1 || (!b.in_subset && b.work_done.total(now_) <= 0)) continue;
-      if (b.machine_kind >= warm_by_kind_.size()) warm_by_kind_.resize(b.machine_kind + 1);
-      const double work_done = b.work_done.total(now_) / 4;
-      for (WarmThroughput* w : {&warm_by_kind_[b.machine_kind], &warm_total_}) w->work_done += work_done, w->weight += b.weight;
+    for (Index index : running_backends_) {
+      Backend& backend = backends_[index];
+      if (capacity_share(backend) < 1 || (!backend.in_subset && backend.work_done.total(now_) <= 0)) continue;
+      if (backend.machine_kind >= warm_by_kind_.size()) warm_by_kind_.resize(backend.machine_kind + 1);
+      const double work_done = backend.work_done.total(now_) / 4;
+      for (WarmThroughput* total : {&warm_by_kind_[backend.machine_kind], &warm_total_})
+        total->work_done += work_done, total->weight += backend.weight;
     }
   }
 
-  // The part of its work that a backend can do at its age, at the least.
-  double capacity_share(const Backend& b) const {
-    if (b.started_at <= 0 || slow_start_duration_ <= 0) return 1;
-    const double age = static_cast<double>(std::max<TenthsOfMs>(0, now_ - b.started_at)) / slow_start_duration_;
+  // The least share of its full capacity, up to 1, that a backend has at its age.
+  double capacity_share(const Backend& backend) const {
+    if (backend.started_at <= 0 || slow_start_duration_ <= 0) return 1;
+    const double age =
+        static_cast<double>(std::max<TenthsOfMs>(0, now_ - backend.started_at)) / slow_start_duration_;
     return std::min(1.0, initial_capacity_share_ + (1 - initial_capacity_share_) * age);
   }
 
-  // ---- the last moments before a limit
-
-  // The process may stand still as a limit comes due, and would answer late by as much. So an invocation whose attempts
-  // are not likely to be answered any more is answered before: they would be waited for in vain.
-  void schedule_abandon_check(Index i) {
-    Invocation& v = invocations_[i];
-    const TenthsOfMs sooner = std::min(pause_allowance_, (v.valid_until - v.arrived) / kMinAllowanceDivisor);
-    if (sooner <= 0) return;
-    v.abandon_check_at = v.valid_until - answer_margin_ - sooner;
-    at(v.abandon_check_at, i);
-  }
-  void abandon_if_unlikely(Index i) {
-    Invocation& v = invocations_[i];
-    v.abandon_check_at = 0;
-    const TenthsOfMs left = v.valid_until - answer_margin_ - now_;
-    policy::AnswerProbability& odds = answer_probability_[v.workload];
-    const bool hope = std::any_of(v.hand_offs.begin(), v.hand_offs.end(), [&](const HandOff& h) {
-      const bool comes = now_ - h.last_progress_at <= kMaxAnswerGap;
-      return h.execution == Execution::in_flight && (comes || odds.is_likely(now_, now_ - h.sent, left));
-    });
-    if (hope || odds.is_sampled()) return;
-    for (HandOff& h : v.hand_offs) h.was_abandoned = h.execution == Execution::in_flight;
-    give_final_answer(i);
-  }
-  void record_answer_time(const Invocation& v, const HandOffEnded& e) {
-    if (e.ending == Ending::succeeded) answer_probability_[v.workload].answered(now_, e.elapsed);
-    if (e.ending == Ending::timed_out) answer_probability_[v.workload].unanswered(now_, e.elapsed);
-  }
-
-  // ---- the choice
-
-  // An irreversible invocation is hopeless once an answer is worth nothing: its client doesn't try again, so
-  // ending it costs no work, and where a time-out stops it a huge one no longer holds up its backend.
-  TenthsOfMs useful_until(const Invocation& v) const {
-    const Workload& w = workloads_[v.workload];
-    return v.has_streaming_body || w.late_value_share > 0 || w.semantics != Semantics::non_idempotent
-               ? v.valid_until
-               : std::min(v.valid_until, v.arrived + w.latency_objective);
-  }
-
-  // Where places are scarce, one that is told to need more than the time it has left takes none: clients that
-  // ask again and again with short limits filled the backends with work that nobody waited for any more.
-  bool cannot_finish_in_time(const Invocation& v) const {
-    return is_near_limit() && v.has_hint && static_cast<double>(useful_until(v) - now_) < v.work;
-  }
-
-  // Hands an invocation to the better of two fresh random ready backends; false where that can't be done.
-  bool hand_off(Index i) {
-    Invocation& v = invocations_[i];
-    if (!v.held || v.is_answer_streaming || now_ + answer_margin_ * 2 >= useful_until(v)) return false;
-    if (static_cast<int>(v.hand_offs.size()) >= v.max_hand_offs) return false;
-    if (may_probe_) {  // they tell of a jam before this node's own answers do
-      if (v.probe_rounds == 0 && v.hand_offs.empty() && uniform() > admitted_share_) return false;
+  // ---- abandoning early
+
+  // The process may be stalled when a limit comes due, and would answer late by the length of the stall. So
+  // an invocation whose hand-offs are unlikely to be answered is answered earlier, since waiting for them
+  // would gain nothing.
+  void schedule_abandon_check(Index index) {
+    Invocation& invocation = invocations_[index];
+    const TenthsOfMs allowance =
+        std::min(pause_allowance_, (invocation.valid_until - invocation.arrived) / kMinAllowanceDivisor);
+    if (allowance <= 0) return;
+    invocation.abandon_check_at = invocation.valid_until - answer_margin_ - allowance;
+    schedule_check(invocation.abandon_check_at, index);
+  }
+  void abandon_if_unlikely(Index index) {
+    Invocation& invocation = invocations_[index];
+    invocation.abandon_check_at = 0;
+    const TenthsOfMs time_left = invocation.valid_until - answer_margin_ - now_;
+    policy::AnswerProbability& probability = answer_probability_[invocation.workload];
+    const bool may_be_answered =
+        std::any_of(invocation.hand_offs.begin(), invocation.hand_offs.end(), [&](const HandOff& hand_off) {
+          const bool is_progressing = now_ - hand_off.last_progress_at <= kMaxAnswerGap;
+          return hand_off.execution == Execution::in_flight &&
+                 (is_progressing || probability.is_likely(now_, now_ - hand_off.sent_at, time_left));
+        });
+    if (may_be_answered || probability.is_sampled()) return;
+    for (HandOff& hand_off : invocation.hand_offs)
+      hand_off.was_abandoned = hand_off.execution == Execution::in_flight;
+    give_final_answer(index);
+  }
+  void record_answer_time(const Invocation& invocation, const HandOffEnded& ended) {
+    if (ended.ending == Ending::succeeded)
+      answer_probability_[invocation.workload].answered(now_, ended.elapsed);
+    if (ended.ending == Ending::timed_out)
+      answer_probability_[invocation.workload].unanswered(now_, ended.elapsed);
+  }
+
+  // ---- choosing a backend
+
+  // The time until which an answer has any value. For a non-idempotent invocation without value after the
+  // latency objective, the objective is the end: its client does not retry, so ending it causes no work, and
+  // where the time-out makes the backend stop, a huge invocation no longer blocks the backend.
+  TenthsOfMs useful_until(const Invocation& invocation) const {
+    const Workload& workload = workloads_[invocation.workload];
+    return invocation.has_streaming_body || workload.late_value_share > 0 ||
+                   workload.semantics != Semantics::non_idempotent
+               ? invocation.valid_until
+               : std::min(invocation.valid_until, invocation.arrived + workload.latency_objective);
+  }
+
+  // Whether an invocation gets no hand-off because its hint exceeds the time left, checked only near the
+  // concurrency limit. Clients that retried again and again with short limits filled the backends with work
+  // that nobody waited for any more.
+  bool cannot_finish_in_time(const Invocation& invocation) const {
+    return is_near_limit() && invocation.has_hint &&
+           static_cast<double>(useful_until(invocation) - now_) < invocation.work;
+  }
+
+  // Draws two ready backends at random and hands the invocation to the less loaded one, or probes both first.
+  // Returns false if neither is possible now.
+  bool try_hand_off(Index index) {
+    Invocation& invocation = invocations_[index];
+    if (!invocation.is_open || invocation.is_answer_streaming ||
+        now_ + answer_margin_ * 2 >= useful_until(invocation))
+      return false;
+    if (static_cast<int>(invocation.hand_offs.size()) >= invocation.max_hand_offs) return false;
+    if (may_probe_) {  // probes show an overload before the answers to this node do
+      if (invocation.probe_rounds == 0 && invocation.hand_offs.empty() && uniform() > admitted_share_)
+        return false;
     } else if (total_in_flight_ + uniform() >= node_concurrency_limit_) {
-      return false;  // below one, chance gives the fraction
+      return false;  // the random draw allows for a limit below 1
     }
-    if (cannot_finish_in_time(v)) return false;
-    may_open_connection_ = is_likely(recent_connects_.total(now_), recent_connect_failures_.total(now_), 0.5);
-    Index a = kNone, b = kNone;
-    if (!draw_candidates(v, a, b)) return false;
-    if (may_probe_ && b == kNone) b = a;
-    if (should_probe_first(v, a, b)) start_probing(i, a, b);
-    else if (may_probe_ && !(fresh(a) && fresh(b))) return false;
-    else place(i, less_loaded_of(a, b));
+    if (cannot_finish_in_time(invocation)) return false;
+    may_open_connection_ =
+        draw_exceeds(recent_connects_.total(now_), recent_connect_failures_.total(now_), 0.5);
+    Index first = kNone, second = kNone;
+    if (!draw_candidates(invocation, first, second)) return false;
+    if (may_probe_ && second == kNone) second = first;
+    if (should_probe_first(invocation, first, second)) start_probing(index, first, second);
+    else if (may_probe_ && !(has_fresh_report(first) && has_fresh_report(second))) return false;
+    else send_to(index, less_loaded_of(first, second));
     return true;
   }
 
-  void place(Index i, Index to) {
-    Invocation& v = invocations_[i];
-    stop_waiting(i);
+  // Hands the invocation to the backend with index `to`, without further checks.
+  void send_to(Index index, Index to) {
+    Invocation& invocation = invocations_[index];
+    stop_waiting(index);
     ++total_in_flight_;
     recent_starts_.add(now_, 1);
     mean_in_flight_ += (total_in_flight_ - mean_in_flight_) / 32;
-    Backend& b = backends_[to];
-    const TenthsOfMs begin_by = repeat_by(v);
-    v.hand_offs.push_back({to, now_, v.work, b.hand_offs_in_flight, !has_idle_connection(b), fresh(to) ? b.told : -1, Execution::in_flight});
-    if (has_idle_connection(b)) --b.idle;
-    if (b.told >= 0) b.told += 1 / std::max(b.weight, 1e-3), b.sent_since_report += 1 / std::max(b.weight, 1e-3);
-    ++v.hand_offs_in_flight;
-    ++b.hand_offs_in_flight;
-    ++b.held;
-    if (capacity_share(b) < 1) b.slow_start_work_sent.add(now_, budgeted_work(v)), b.drawn = false;
-    actions_.push_back({ActionKind::hand_off, i, to, 0, useful_until(v) - answer_margin_, begin_by});
-    if (!may_hedge_ || v.has_streaming_body || v.hand_offs_in_flight != 1) return;
-    const double long_for_it = kHedgeLatencyMultiple * mean_latency_[v.workload] * relative_size(v);
-    at(v.hedge_at = now_ + (lacks_recent_success(b) ? slow_threshold(v) * 2 / 3 : static_cast<TenthsOfMs>(long_for_it)), i);
-  }
-
-  // A second copy goes out where the first is slow at a backend of which this node knows no recent success:
-  // with many nodes each meets a slow or hung backend before it can have learned of it. At any other it goes
-  // out after many times what is usual, while places are free: a few may hang where the others are well.
-  void send_hedge(Index i) {
-    Invocation& v = invocations_[i];
-    v.hedge_at = 0;
-    if (v.hand_offs_in_flight != 1 || v.hand_offs.back().execution != Execution::in_flight) return;
-    Backend& b = backends_[v.hand_offs.back().backend];
-    if (lacks_recent_success(b)) {
-      ++b.health.consecutive_failures;
-      b.health.bad.add(now_, 1), fleet_health_.bad.add(now_, 1);
-      replace_in_subset(v.hand_offs.back().backend);
-    } else {  // else the copy's answer would hide how slow this one is
-      record_outcome(b.workload_health[v.workload], fleet_health_by_workload_[v.workload], false, true);
+    Backend& backend = backends_[to];
+    const TenthsOfMs begin_by = repeat_by(invocation);
+    invocation.hand_offs.push_back({to, now_, invocation.work, backend.hand_offs_in_flight,
+                                    !has_idle_connection(backend),
+                                    has_fresh_report(to) ? backend.reported_load : -1, Execution::in_flight});
+    if (has_idle_connection(backend)) --backend.idle_connections;
+    if (backend.reported_load >= 0)
+      backend.reported_load += 1 / std::max(backend.weight, 1e-3),
+          backend.sent_since_report += 1 / std::max(backend.weight, 1e-3);
+    ++invocation.hand_offs_in_flight;
+    ++backend.hand_offs_in_flight;
+    ++backend.remembered_hand_offs;
+    if (capacity_share(backend) < 1)
+      backend.slow_start_work_sent.add(now_, budgeted_work(invocation)), backend.is_draw_won = false;
+    actions_.push_back(
+        {ActionKind::hand_off, index, to, 0, useful_until(invocation) - answer_margin_, begin_by});
+    if (!may_hedge_ || invocation.has_streaming_body || invocation.hand_offs_in_flight != 1) return;
+    const double hedge_delay =
+        kHedgeLatencyMultiple * mean_latency_[invocation.workload] * relative_size(invocation);
+    schedule_check(
+        invocation.hedge_at = now_ + (lacks_recent_success(backend) ? slow_threshold(invocation) * 2 / 3
+                                                                    : static_cast<TenthsOfMs>(hedge_delay)),
+        index);
+  }
+
+  // Sends a hedged request if the first hand-off is slow and its backend has no recent success: with many
+  // nodes, each of them meets a slow or hung backend before it can have learned of it. At any other backend,
+  // the hedge comes after a multiple of the mean latency and only while there is capacity: a few invocations
+  // may hang at a backend that answers the others well.
+  void send_hedge(Index index) {
+    Invocation& invocation = invocations_[index];
+    invocation.hedge_at = 0;
+    if (invocation.hand_offs_in_flight != 1 || invocation.hand_offs.back().execution != Execution::in_flight)
+      return;
+    Backend& backend = backends_[invocation.hand_offs.back().backend];
+    if (lacks_recent_success(backend)) {
+      ++backend.health.consecutive_failures;
+      backend.health.failures.add(now_, 1), fleet_health_.failures.add(now_, 1);
+      replace_in_subset(invocation.hand_offs.back().backend);
+    } else {  // counted as late now: the answer to the hedge would hide how slow this backend is
+      record_outcome(backend.workload_health[invocation.workload],
+                     fleet_health_by_workload_[invocation.workload], false, true);
     }
-    if (lacks_recent_success(b) || !is_near_limit()) hand_off(i);
-  }
-  bool lacks_recent_success(Backend& b) { return b.health.good.total(now_) < 1; }
-
-  // Random with Two Choices: fewer of this node's own in flight, a coin toss on ties.
-  Index less_loaded_of(Index a, Index b) {
-    if (b == kNone) return a;
-    if (backends_[a].hand_offs_in_flight != backends_[b].hand_offs_in_flight) return backends_[a].hand_offs_in_flight < backends_[b].hand_offs_in_flight ? a : b;
-    if (fresh(a) && fresh(b) && backends_[a].told != backends_[b].told)  // all nodes' there, by their size
-      return backends_[a].told < backends_[b].told ? a : b;
-    return uniform() < 0.5 ? a : b;
-  }
-  bool fresh(Index n) const {
-    return backends_[n].told >= 0 && now_ - backends_[n].reported_at < report_lifetime_;
-  }
-
-  // Two fresh random ready ones; b stays kNone where only one is ready.
-  bool draw_candidates(const Invocation& v, Index& a, Index& b) {
-    // The own zone first, while two backends there have room to spare: links between zones cost time and
-    // money. One whose limit is shorter than a slow answer has no time for them while any place is near.
-    if (subset_in_zone_.size() >= 2 && v.probe_rounds == 0) {
-      const double part = useful_until(v) - now_ < slow_threshold(v) ? 1 : kOwnZoneFillLimit;
-      a = draw_ready(v, subset_in_zone_, kNone, part);
-      if (a != kNone) b = draw_ready(v, subset_in_zone_, a, part);
+    if (lacks_recent_success(backend) || !is_near_limit()) try_hand_off(index);
+  }
+  bool lacks_recent_success(Backend& backend) { return backend.health.successes.total(now_) < 1; }
+
+  // Power of two choices: fewer hand-offs of this node in flight, then the lower reported load, then a random
+  // draw.
+  Index less_loaded_of(Index first, Index second) {
+    if (second == kNone) return first;
+    if (backends_[first].hand_offs_in_flight != backends_[second].hand_offs_in_flight)
+      return backends_[first].hand_offs_in_flight < backends_[second].hand_offs_in_flight ? first : second;
+    if (has_fresh_report(first) && has_fresh_report(second) &&
+        backends_[first].reported_load != backends_[second].reported_load)  // load of all nodes, per weight
+      return backends_[first].reported_load < backends_[second].reported_load ? first : second;
+    return uniform() < 0.5 ? first : second;
+  }
+  bool has_fresh_report(Index index) const {
+    return backends_[index].reported_load >= 0 && now_ - backends_[index].reported_at < report_lifetime_;
+  }
+
+  // Draws two different ready backends at random. `second` stays kNone if only one is ready. Returns false if
+  // none is ready.
+  bool draw_candidates(const Invocation& invocation, Index& first, Index& second) {
+    // The zone of this node comes first while two of its backends have spare capacity: links between zones
+    // cost time and money. An invocation with less time left than a slow answer takes has no time for such
+    // links while any backend in the zone is below its limit.
+    if (subset_in_zone_.size() >= 2 && invocation.probe_rounds == 0) {
+      const double fill_limit =
+          useful_until(invocation) - now_ < slow_threshold(invocation) ? 1 : kOwnZoneFillLimit;
+      first = draw_ready(invocation, subset_in_zone_, kNone, fill_limit);
+      if (first != kNone) second = draw_ready(invocation, subset_in_zone_, first, fill_limit);
     }
-    if (b != kNone) return true;
-    a = draw_ready(v, subset_, kNone, 1);
-    if (a != kNone) b = draw_ready(v, subset_, a, 1);
-    if (a == kNone && subset_.size() < running_backends_.size()) a = draw_ready(v, running_backends_, kNone, 1);
-    return a != kNone;
-  }
-
-  // With many nodes the counts of each tell nothing of what the others have at a backend. Where probes tell
-  // that, a pair of which it is not known is probed first.
-  bool should_probe_first(const Invocation& v, Index a, Index b) const {
-    return may_probe_ && v.probe_rounds < kMaxProbeRounds && !(fresh(a) && fresh(b));
-  }
-  void start_probing(Index i, Index a, Index b) {
-    Invocation& v = invocations_[i];
-    stop_waiting(i);
-    ++v.probe_rounds;
-    v.pair = {a, b};
-    v.probe_until = now_ + std::max(answer_margin_ * 2, workloads_[v.workload].latency_objective / 16);
-    at(v.probe_until, i);
-    probing_.push_back(i);
-    for (Index n : v.pair) {
-      Backend& x = backends_[n];
-      if (x.probes_in_flight++ == 0) actions_.push_back({ActionKind::probe, kNone, n, 0, 0});
+    if (second != kNone) return true;
+    first = draw_ready(invocation, subset_, kNone, 1);
+    if (first != kNone) second = draw_ready(invocation, subset_, first, 1);
+    if (first == kNone && subset_.size() < running_backends_.size())
+      first = draw_ready(invocation, running_backends_, kNone, 1);
+    return first != kNone;
+  }
+
+  // With many nodes, the counts of one node do not show the load that other nodes put on a backend. Where
+  // probes show that load, a pair without fresh reports is probed first.
+  bool should_probe_first(const Invocation& invocation, Index first, Index second) const {
+    return may_probe_ && invocation.probe_rounds < kMaxProbeRounds &&
+           !(has_fresh_report(first) && has_fresh_report(second));
+  }
+  // Probes two backends for an invocation that has to wait for the results.
+  void start_probing(Index index, Index first, Index second) {
+    Invocation& invocation = invocations_[index];
+    stop_waiting(index);
+    ++invocation.probe_rounds;
+    invocation.probed_pair = {first, second};
+    invocation.probe_until =
+        now_ + std::max(answer_margin_ * 2, workloads_[invocation.workload].latency_objective / 16);
+    schedule_check(invocation.probe_until, index);
+    probing_.push_back(index);
+    for (Index candidate : invocation.probed_pair) {
+      Backend& backend = backends_[candidate];
+      if (backend.probes_in_flight++ == 0) actions_.push_back({ActionKind::probe, kNone, candidate, 0, 0});
     }
   }
-  void finish_probing(Index i) {
-    Invocation& v = invocations_[i];
-    probing_.erase(std::find(probing_.begin(), probing_.end(), i));
-    v.probe_until = 0;
-    const auto [a, b] = v.pair;
-    const bool a_ready = fresh(a) && is_ready(v, a, 1), b_ready = fresh(b) && is_ready(v, b, 1);
-    update_admitted_share(v, a_ready || b_ready);
-    if (now_ + answer_margin_ * 2 < useful_until(v) && (a_ready || b_ready))
-      return place(i, a_ready && b_ready ? less_loaded_of(a, b) : a_ready ? a : b);
-    if (!hand_off(i)) enqueue_or_answer(i);
-  }
-
-  // Draws one, then tests it, and draws again: the same chances as a draw among all ready ones, at a cost
-  // that does not grow with the fleet. Only where few are ready are all of them looked at.
-  Index draw_ready(const Invocation& v, const std::vector<Index>& from, Index but, double part) {
-    for (int tries = 0; tries < kMaxDraws && !from.empty(); ++tries) {
-      const Index n = from[std::min(from.size() - 1, static_cast<std::size_t>(uniform() * from.size()))];
-      if (n != but && uniform() * max_weight_ < selection_weight(n) && is_ready(v, n, part)) return n;
+  // Hands off the invocation if one of the probed backends is ready, else tries other backends, queues it or
+  // answers it.
+  void finish_probing(Index index) {
+    Invocation& invocation = invocations_[index];
+    probing_.erase(std::find(probing_.begin(), probing_.end(), index));
+    invocation.probe_until = 0;
+    const auto [first, second] = invocation.probed_pair;
+    const bool is_first_ready = has_fresh_report(first) && is_ready(invocation, first, 1),
+               is_second_ready = has_fresh_report(second) && is_ready(invocation, second, 1);
+    update_admitted_share(invocation, is_first_ready || is_second_ready);
+    if (now_ + answer_margin_ * 2 < useful_until(invocation) && (is_first_ready || is_second_ready))
+      return send_to(index, is_first_ready && is_second_ready ? less_loaded_of(first, second)
+                            : is_first_ready                  ? first
+                                                              : second);
+    if (!try_hand_off(index)) enqueue_or_answer(index);
+  }
+
+  // Draws one ready backend with a probability in proportion to its selection_weight(); kNone if there is
+  // none. The function draws a candidate, then checks it, then draws again: the probabilities are those of a
+  // draw among all ready backends, at a cost that does not grow with the fleet. All candidates are checked
+  // only where few are ready.
+  Index draw_ready(const Invocation& invocation, const std::vector<Index>& candidates, Index excluded,
+                   double fill_limit) {
+    for (int tries = 0; tries < kMaxDraws && !candidates.empty(); ++tries) {
+      const Index candidate = candidates[std::min(candidates.size() - 1,
+                                                  static_cast<std::size_t>(uniform() * candidates.size()))];
+      if (candidate != excluded && uniform() * max_weight_ < selection_weight(candidate) &&
+          is_ready(invocation, candidate, fill_limit))
+        return candidate;
     }
     double sum = 0;
     Index drawn = kNone;
-    for (Index n : from) {
-      if (n == but || !is_ready(v, n, part)) continue;
-      sum += selection_weight(n);
-      if (uniform() * sum < selection_weight(n)) drawn = n;
+    for (Index candidate : candidates) {
+      if (candidate == excluded || !is_ready(invocation, candidate, fill_limit)) continue;
+      sum += selection_weight(candidate);
+      if (uniform() * sum < selection_weight(candidate)) drawn = candidate;
     }
     return drawn;
   }
 
-  bool is_ready(const Invocation& v, Index n, double part) {
-    Backend& b = backends_[n];
-    if (may_probe_ && fresh(n) && !has_capacity(v, b)) return false;
-    return (may_probe_ || b.hand_offs_in_flight < std::max(1.0, b.concurrency_limit * part)) && draw_is_healthy(b.health, fleet_health_) &&
-           draw_is_healthy(b.workload_health[v.workload], fleet_health_by_workload_[v.workload]) && (may_open_connection_ || has_idle_connection(b)) &&
-           may_send_to(b) && may_repeat_at(v, b) && within_slow_start_budget(b, budgeted_work(v));
-  }
-
-  // Whether what it told of itself leaves time for one more: by the wait, where the pace of waiting ones is
-  // known, else by what answers in time have shown it may hold.
-  bool has_capacity(const Invocation& v, const Backend& b) const {
-    const double in_time = kMaxQueueWaitShare * service_rate_ * static_cast<double>(workloads_[v.workload].latency_objective);
-    return b.told <= load_limit_ && (service_rate_ <= 0 || b.told - b.sent_since_report <= in_time);
-  }
-  void update_load_limit(const HandOff& h, const Invocation& v, const HandOffEnded& e) {
-    const bool late = e.ending == Ending::timed_out || e.elapsed > workloads_[v.workload].latency_objective;
-    // Only late ones sent within it tell that it is too much: a burst's come in long after it has shrunk.
-    if (late && h.told <= load_limit_) load_limit_ = std::min(load_limit_, h.told) * (1 - kLimitStep * (1 - kTargetLateShare));
-    else if (!late && h.told > load_limit_ / 2) load_limit_ *= 1 + kLimitStep * kTargetLateShare;
-  }
-  // Nodes told of the same free backend at once would fill it together. So each sends on only a share
-  // of what comes: more while searches end with a backend, less, and faster, where the last pair has no room.
-  void update_admitted_share(const Invocation& v, bool found) {
-    if (service_rate_ <= 0 || (!found && v.probe_rounds < kMaxProbeRounds)) return;
-    const double step = kLimitStep * static_cast<double>(std::min(now_ - admitted_share_at_, kSecond)) / kSecond;
+  bool is_ready(const Invocation& invocation, Index index, double fill_limit) {
+    Backend& backend = backends_[index];
+    if (may_probe_ && has_fresh_report(index) && !has_capacity(invocation, backend)) return false;
+    return (may_probe_ ||
+            backend.hand_offs_in_flight < std::max(1.0, backend.concurrency_limit * fill_limit)) &&
+           draw_is_healthy(backend.health, fleet_health_) &&
+           draw_is_healthy(backend.workload_health[invocation.workload],
+                           fleet_health_by_workload_[invocation.workload]) &&
+           (may_open_connection_ || has_idle_connection(backend)) && may_send_to(backend) &&
+           may_repeat_at(invocation, backend) && within_slow_start_budget(backend, budgeted_work(invocation));
+  }
+
+  // Whether the reported load leaves time for one more invocation: by the wait in the queue of the backend if
+  // the service rate is known, else by the load at which answers have been in time.
+  bool has_capacity(const Invocation& invocation, const Backend& backend) const {
+    const double max_queue = kMaxQueueWaitShare * service_rate_ *
+                             static_cast<double>(workloads_[invocation.workload].latency_objective);
+    return backend.reported_load <= load_limit_ &&
+           (service_rate_ <= 0 || backend.reported_load - backend.sent_since_report <= max_queue);
+  }
+  void update_load_limit(const HandOff& hand_off, const Invocation& invocation, const HandOffEnded& ended) {
+    const bool is_late = ended.ending == Ending::timed_out ||
+                         ended.elapsed > workloads_[invocation.workload].latency_objective;
+    // Only a late answer from within the limit shows that the limit is too high: late answers of a burst
+    // still arrive long after the limit has been lowered.
+    if (is_late && hand_off.reported_load <= load_limit_)
+      load_limit_ = std::min(load_limit_, hand_off.reported_load) * (1 - kLimitStep * (1 - kTargetLateShare));
+    else if (!is_late && hand_off.reported_load > load_limit_ / 2)
+      load_limit_ *= 1 + kLimitStep * kTargetLateShare;
+  }
+  // Nodes that learn of the same free backend at once would overload it together. So each node hands off only
+  // a share of its new invocations. The share grows while probing ends with a backend. It shrinks, and does
+  // so faster, when the last pair has no capacity.
+  void update_admitted_share(const Invocation& invocation, bool is_found) {
+    if (service_rate_ <= 0 || (!is_found && invocation.probe_rounds < kMaxProbeRounds)) return;
+    const double step =
+        kLimitStep * static_cast<double>(std::min(now_ - admitted_share_at_, kSecond)) / kSecond;
     admitted_share_at_ = now_;
-    admitted_share_ = std::clamp(admitted_share_ * (found ? 1 + 2 * step : 1 - 8 * step), 0.02, 1.0);
+    admitted_share_ = std::clamp(admitted_share_ * (is_found ? 1 + 2 * step : 1 - 8 * step), 0.02, 1.0);
   }
 
-  // Both are drawn by their size in the list, of which a fresh backend counts the part that its age allows.
-  double selection_weight(Index n) const { return std::max(1e-3, backends_[n].weight * capacity_share(backends_[n])); }
+  // The weight of a backend in a random draw: its listed weight, times its capacity share in slow start.
+  double selection_weight(Index index) const {
+    return std::max(1e-3, backends_[index].weight * capacity_share(backends_[index]));
+  }
 
-  // ---- the members
+  // ---- the subset of backends that this node uses
 
-  // A node that sees little keeps to so few backends that its own counts tell something of them; where that
-  // is the whole fleet, all are members. One that does badly is left for another drawn at random.
+  // A node with little traffic uses so few backends that its own counts say something about each of them.
+  // With enough traffic, the subset is the whole fleet. A backend that does badly is replaced by another one,
+  // drawn at random.
   void fill_subset() {
-    const auto want = std::min<std::size_t>(
-        running_backends_.size(), std::max(kMinSubsetSize, static_cast<std::size_t>(kSubsetPerInFlight * mean_in_flight_)));
-    if (subset_.size() >= want) return;
-    while (subset_.size() < want) {
-      Index n = kNone;
-      for (int tries = 0; tries < kMaxDraws && n == kNone; ++tries) {
-        // Half of them near, where a link between zones costs more than a new connection does.
-        const bool near = prefers_own_zone_ && 2 * subset_in_zone_.size() < want && subset_in_zone_.size() < running_in_zone_.size();
-        const std::vector<Index>& from = near ? running_in_zone_ : running_backends_;
-        const Index drawn = from[static_cast<std::size_t>(uniform() * from.size()) % from.size()];
-        if (!backends_[drawn].in_subset && draw_is_healthy(backends_[drawn].health, fleet_health_)) n = drawn;
+    const auto wanted_size = std::min<std::size_t>(
+        running_backends_.size(),
+        std::max(kMinSubsetSize, static_cast<std::size_t>(kSubsetPerInFlight * mean_in_flight_)));
+    if (subset_.size() >= wanted_size) return;
+    while (subset_.size() < wanted_size) {
+      Index added = kNone;
+      for (int tries = 0; tries < kMaxDraws && added == kNone; ++tries) {
+        // Half of the subset is in the zone of this node if a link between zones costs more than a new
+        // connection.
+        const bool prefers_near = prefers_own_zone_ && 2 * subset_in_zone_.size() < wanted_size &&
+                                  subset_in_zone_.size() < running_in_zone_.size();
+        const std::vector<Index>& candidates = prefers_near ? running_in_zone_ : running_backends_;
+        const Index drawn =
+            candidates[static_cast<std::size_t>(uniform() * candidates.size()) % candidates.size()];
+        if (!backends_[drawn].in_subset && draw_is_healthy(backends_[drawn].health, fleet_health_))
+          added = drawn;
       }
-      for (std::size_t k = 0; k < running_backends_.size() && n == kNone; ++k)
-        if (!backends_[running_backends_[k]].in_subset) n = running_backends_[k];
-      backends_[n].in_subset = true;
-      subset_.push_back(n);
+      for (std::size_t position = 0; position < running_backends_.size() && added == kNone; ++position)
+        if (!backends_[running_backends_[position]].in_subset) added = running_backends_[position];
+      backends_[added].in_subset = true;
+      subset_.push_back(added);
       update_subset_in_zone();
     }
     update_subset_in_zone();
   }
-  // New backends take members' places in proportion, else a fleet that grows would be left idle (id35df7).
-  void add_new_to_subset(const std::vector<Index>& fresh) {
-    for (Index n : fresh) {
+  // New backends replace members of the subset in proportion to their number. Otherwise the new part of a
+  // growing fleet would be idle.
+  void add_new_to_subset(const std::vector<Index>& new_backends) {
+    for (Index added : new_backends) {
       if (subset_.empty() || uniform() * running_backends_.size() >= subset_.size()) continue;
-      Index& place = subset_[static_cast<std::size_t>(uniform() * subset_.size()) % subset_.size()];
-      backends_[place].in_subset = false;
-      backends_[n].in_subset = true;
-      place = n;
+      Index& replaced = subset_[static_cast<std::size_t>(uniform() * subset_.size()) % subset_.size()];
+      backends_[replaced].in_subset = false;
+      backends_[added].in_subset = true;
+      replaced = added;
     }
     update_subset_in_zone();
   }
-  void replace_in_subset(Index n) {
-    if (!backends_[n].in_subset || subset_.size() >= running_backends_.size()) return;
-    if (draw_is_healthy(backends_[n].health, fleet_health_, 0.5)) return;
-    backends_[n].in_subset = false;
-    subset_.erase(std::find(subset_.begin(), subset_.end(), n));
+  void replace_in_subset(Index index) {
+    if (!backends_[index].in_subset || subset_.size() >= running_backends_.size()) return;
+    if (draw_is_healthy(backends_[index].health, fleet_health_, 0.5)) return;
+    backends_[index].in_subset = false;
+    subset_.erase(std::find(subset_.begin(), subset_.end(), index));
     fill_subset();
     update_subset_in_zone();
   }
   void update_subset_in_zone() {
     subset_in_zone_.clear();
-    for (Index n : subset_)
-      if (backends_[n].zone == zone_) subset_in_zone_.push_back(n);
+    for (Index index : subset_)
+      if (backends_[index].zone == zone_) subset_in_zone_.push_back(index);
   }
 
-  // ---- health
+  // ---- health and outlier detection
 
-  void update_health(Backend& b, const Invocation& v, const HandOffEnded& e) {
-    if (e.ending == Ending::never_sent) return;
-    Health &own = b.workload_health[v.workload], &all = fleet_health_by_workload_[v.workload];
-    // Clients that leave one that hangs tell of their workload at this backend; of others they tell nothing.
-    if (e.ending == Ending::recalled) {
-      if (e.elapsed > slow_threshold(v)) record_outcome(own, all, false, true);
+  void update_health(Backend& backend, const Invocation& invocation, const HandOffEnded& ended) {
+    if (ended.ending == Ending::never_sent) return;
+    Health &own = backend.workload_health[invocation.workload],
+           &fleet = fleet_health_by_workload_[invocation.workload];
+    // A client that leaves after a slow wait shows a problem of its workload at this backend, and nothing
+    // about other workloads.
+    if (ended.ending == Ending::recalled) {
+      if (ended.elapsed > slow_threshold(invocation)) record_outcome(own, fleet, false, true);
       return;
     }
-    const bool late =
-        e.ending == Ending::timed_out ||
-        (e.ending == Ending::succeeded && e.elapsed > workloads_[v.workload].latency_objective && !v.has_hint);
-    const bool good = e.ending == Ending::succeeded && !late;
-    record_outcome(own, all, good, late);
-    if (!record_outcome(b.health, fleet_health_, good, late)) replace_in_subset(static_cast<Index>(&b - backends_.data()));
-  }
-  // Whether it is no reason for doubt.
-  bool record_outcome(Health& h, Health& all, bool good, bool late) {
-    if (good) return h.consecutive_failures = 0, h.good.add(now_, 1), all.good.add(now_, 1), true;
-    // A run of them that chance alone would hardly bring: it has changed, and what it did before tells
-    // nothing, bad or good. With connections reset everywhere three in a row come often, and their backends
-    // were left out for as long as the bad ones of before were remembered.
-    const double share = all.bad.total(now_) / (all.good.total(now_) + all.bad.total(now_) + 1);
-    if (++h.consecutive_failures >= 3 && std::pow(share, h.consecutive_failures) < kMinRunProbability &&
-        (h.consecutive_failures == 3 || std::pow(share, h.consecutive_failures - 1) >= kMinRunProbability))
-      h.good.clear(), h.bad.clear(), h.bad.add(now_, h.consecutive_failures - 1);
-    // A busy backend answers some in time and some not: only late ones with none in time between them are
-    // doubt, or the first where this node hears of it too rarely to know better.
-    if (late && h.consecutive_failures < 3 && h.good.total(now_) >= 1) return true;
-    h.bad.add(now_, 1), all.bad.add(now_, 1);
+    const bool is_late =
+        ended.ending == Ending::timed_out ||
+        (ended.ending == Ending::succeeded &&
+         ended.elapsed > workloads_[invocation.workload].latency_objective && !invocation.has_hint);
+    const bool is_success = ended.ending == Ending::succeeded && !is_late;
+    record_outcome(own, fleet, is_success, is_late);
+    if (!record_outcome(backend.health, fleet_health_, is_success, is_late))
+      replace_in_subset(static_cast<Index>(&backend - backends_.data()));
+  }
+  // Counts one outcome for a backend and for the fleet. Returns false if it counts as a failure.
+  bool record_outcome(Health& health, Health& fleet, bool is_success, bool is_late) {
+    if (is_success)
+      return health.consecutive_failures = 0, health.successes.add(now_, 1), fleet.successes.add(now_, 1),
+             true;
+    // A run of failures that chance would hardly produce: the backend has changed, and its earlier record,
+    // bad or good, says nothing about it now. In a network that resets connections everywhere, three failures
+    // in a row are frequent, and backends were avoided for as long as their earlier failures were remembered.
+    const double failure_share =
+        fleet.failures.total(now_) / (fleet.successes.total(now_) + fleet.failures.total(now_) + 1);
+    if (++health.consecutive_failures >= 3 &&
+        std::pow(failure_share, health.consecutive_failures) < kMinRunProbability &&
+        (health.consecutive_failures == 3 ||
+         std::pow(failure_share, health.consecutive_failures - 1) >= kMinRunProbability))
+      health.successes.clear(), health.failures.clear(),
+          health.failures.add(now_, health.consecutive_failures - 1);
+    // A busy backend answers some invocations in time and others late. Late answers count as failures only if
+    // none in time came between them, or at once if this node hears from the backend too rarely to know
+    // better.
+    if (is_late && health.consecutive_failures < 3 && health.successes.total(now_) >= 1) return true;
+    health.failures.add(now_, 1), fleet.failures.add(now_, 1);
     return false;
   }
 
-  // Whether connections come up at all is learned from all new ones together: where they don't, only backends
-  // with an open one are ready, and a try now and then (i33b657).
-  void update_connections(Backend& b, const HandOff& h, Ending ending) {
-    const bool answered =
+  // Learns from all new connections together whether connecting works. If it does not, only backends with an
+  // idle connection are ready, apart from an occasional attempt.
+  void update_connections(Backend& backend, const HandOff& hand_off, Ending ending) {
+    const bool is_answered =
         ending == Ending::succeeded || ending == Ending::error || ending == Ending::turned_away;
-    if (answered) ++b.idle, b.idle_connections_until = now_ + keepalive_;
-    if (ending == Ending::unreachable || ending == Ending::broken) b.idle = 0;
-    if (!h.new_connection || ending == Ending::never_sent || ending == Ending::recalled) return;
+    if (is_answered) ++backend.idle_connections, backend.idle_connections_until = now_ + keepalive_;
+    if (ending == Ending::unreachable || ending == Ending::broken) backend.idle_connections = 0;
+    if (!hand_off.new_connection || ending == Ending::never_sent || ending == Ending::recalled) return;
     (ending == Ending::unreachable ? recent_connect_failures_ : recent_connects_).add(now_, 1);
   }
-  bool has_idle_connection(const Backend& b) const { return b.idle > 0 && now_ < b.idle_connections_until; }
-
-  // Whether a backend is to be trusted with work: a draw from the posterior of its chance of success, held
-  // against the whole fleet's, so that quick errors don't draw work to an empty-looking backend, and yet it
-  // is tried now and then.
-  bool draw_is_healthy(Health& h, Health& all, double least = 0) {
-    const double good = all.good.total(now_) + 1,
-                 fleet = std::max(least, good / (good + all.bad.total(now_)));
-    return is_likely(h.good.total(now_), h.bad.total(now_), kOutlierSuccessRatio * fleet);
-  }
-  // Whether the middle of that posterior is too low, so that most draws turn out against it.
-  bool is_outlier(Health& h) {
-    const double good = h.good.total(now_), bad = h.bad.total(now_), all_good = fleet_health_.good.total(now_) + 1;
-    return bad > 0.5 && (good + 1) / (good + bad + 2) < kOutlierSuccessRatio * all_good / (all_good + fleet_health_.bad.total(now_));
-  }
-  bool is_likely(double good, double bad, double least) {
-    if (bad < 0.5) return true;
-    const double x = std::gamma_distribution<double>(good + 1)(random_);
-    const double y = std::gamma_distribution<double>(bad + 1)(random_);
-    return x > least * (x + y);
-  }
-
-  // ---- limits and waiting
-
-  // How many of this node's hand-offs a backend may have in flight is learned from their times alone: the
-  // limit settles where a small share of the answers takes more than half of the due time. It guards against
-  // jams, in which every backend is busy with work whose answer comes too late.
-  void update_limits(Backend& b, const HandOff& h, const Invocation& v, const HandOffEnded& e) {
-    if (e.ending == Ending::error || e.ending == Ending::recalled || e.ending == Ending::never_sent) return;
-    const bool late = e.ending != Ending::succeeded || e.elapsed > slow_threshold(v);
-    // With many nodes each sees too little of one backend; all its answers together tell it of a jam in time.
-    const double anchor =
-        std::sqrt(std::max(1.0, initial_limit_ * static_cast<double>(running_backends_.size())) / node_concurrency_limit_);
-    const double whole = std::min(kLimitStep * node_concurrency_limit_, 1.0);
-    if (is_near_limit()) node_concurrency_limit_ += whole * (late ? kNodeTargetLateShare - 1 : kNodeTargetLateShare * anchor);
-    node_concurrency_limit_ = std::max({0.1, node_concurrency_limit_, min_limit_ * static_cast<double>(running_backends_.size())});
-    // A lost connection says nothing of how much a backend can take; held against it, it would keep it small
-    // once it is well.
-    if (e.ending == Ending::unreachable || e.ending == Ending::broken) return;
+  bool has_idle_connection(const Backend& backend) const {
+    return backend.idle_connections > 0 && now_ < backend.idle_connections_until;
+  }
+
+  // Whether a backend passes outlier detection this time: a draw from the posterior distribution of its
+  // success rate is compared with the success rate of the fleet. So a backend does not attract work by quick
+  // errors that make it look idle, and an outlier is still tried now and then.
+  bool draw_is_healthy(Health& health, Health& fleet_health, double min_share = 0) {
+    const double successes = fleet_health.successes.total(now_) + 1,
+                 fleet_share =
+                     std::max(min_share, successes / (successes + fleet_health.failures.total(now_)));
+    return draw_exceeds(health.successes.total(now_), health.failures.total(now_),
+                        kOutlierSuccessRatio * fleet_share);
+  }
+  // Whether the mean of that distribution is so low that most draws exclude the backend.
+  bool is_outlier(Health& health) {
+    const double successes = health.successes.total(now_), failures = health.failures.total(now_),
+                 fleet_successes = fleet_health_.successes.total(now_) + 1;
+    return failures > 0.5 && (successes + 1) / (successes + failures + 2) <
+                                 kOutlierSuccessRatio * fleet_successes /
+                                     (fleet_successes + fleet_health_.failures.total(now_));
+  }
+  // Draws a success rate from its posterior distribution, given counts of successes and failures, and
+  // compares the draw with `threshold`. Without failures the result is true.
+  bool draw_exceeds(double successes, double failures, double threshold) {
+    if (failures < 0.5) return true;
+    const double success_draw = std::gamma_distribution<double>(successes + 1)(random_);
+    const double failure_draw = std::gamma_distribution<double>(failures + 1)(random_);
+    return success_draw > threshold * (success_draw + failure_draw);
+  }
+
+  // ---- concurrency limits and the queue
+
+  // Learns the concurrency limits of the backend and of the node from the times of hand-offs alone. A limit
+  // settles where a small share of the answers takes more than half of the latency objective. The limits
+  // prevent an overload in which every backend is busy with work whose answer comes too late.
+  void update_limits(Backend& backend, const HandOff& hand_off, const Invocation& invocation,
+                     const HandOffEnded& ended) {
+    if (ended.ending == Ending::error || ended.ending == Ending::recalled ||
+        ended.ending == Ending::never_sent)
+      return;
+    const bool is_late = ended.ending != Ending::succeeded || ended.elapsed > slow_threshold(invocation);
+    // With many nodes, each of them sees too few answers of one backend; the answers of all backends together
+    // show an overload in time.
+    const double recovery_factor =
+        std::sqrt(std::max(1.0, initial_limit_ * static_cast<double>(running_backends_.size())) /
+                  node_concurrency_limit_);
+    const double node_step = std::min(kLimitStep * node_concurrency_limit_, 1.0);
+    if (is_near_limit())
+      node_concurrency_limit_ +=
+          node_step * (is_late ? kNodeTargetLateShare - 1 : kNodeTargetLateShare * recovery_factor);
+    node_concurrency_limit_ =
+        std::max({0.1, node_concurrency_limit_, min_limit_ * static_cast<double>(running_backends_.size())});
+    // A lost connection says nothing about the capacity of a backend. Counted here, it would keep the limit
+    // low after the backend has recovered.
+    if (ended.ending == Ending::unreachable || ended.ending == Ending::broken) return;
     const double step =
-        std::min(kLimitStep * b.concurrency_limit, 1.0);  // the same over a whole round of answers, large or small
-    if (late) b.concurrency_limit -= step * (1 - kTargetLateShare);
-    else if (h.in_flight_before + 1 > b.concurrency_limit / 2 || is_near_limit()) b.concurrency_limit += step * kTargetLateShare;
-    b.concurrency_limit = std::clamp(b.concurrency_limit, min_limit_, kMaxBackendLimit);
+        // Over one round of answers, small and large limits move by the same share.
+        std::min(kLimitStep * backend.concurrency_limit, 1.0);
+    if (is_late) backend.concurrency_limit -= step * (1 - kTargetLateShare);
+    else if (hand_off.in_flight_before + 1 > backend.concurrency_limit / 2 || is_near_limit())
+      backend.concurrency_limit += step * kTargetLateShare;
+    backend.concurrency_limit = std::clamp(backend.concurrency_limit, min_limit_, kMaxBackendLimit);
   }
 
   bool is_near_limit() const { return total_in_flight_ + 1 > node_concurrency_limit_ * 0.7; }
 
-  // After this an answer is slow. A large one takes long by itself: where its size is told, that is no sign
-  // of a queue.
-  TenthsOfMs slow_threshold(const Invocation& v) const {
-    return static_cast<TenthsOfMs>(kSlowObjectiveShare * static_cast<double>(workloads_[v.workload].latency_objective) * relative_size(v));
-  }
-  double relative_size(const Invocation& v) const {
-    return v.has_hint ? 0.5 + 0.5 * v.work / mean_work_[v.workload] : 1;
-  }
-
-  // What an invocation of this workload is worth for each unit of the backends' time.
-  double value_per_work(const Invocation& v) const {
-    return workloads_[v.workload].billing_value / mean_latency_[v.workload];
-  }
-
-  // With no place free, an invocation waits if its turn is likely to come in time; else it, or a waiting one
-  // that is worth less for its work, is answered at once. A client's flagged repeat never waits: its due time
-  // has run since the first try, and waiting made it late.
-  void enqueue_or_answer(Index i) {
-    Invocation& v = invocations_[i];
-    const TenthsOfMs patience = workloads_[v.workload].latency_objective / 8;
-    const TenthsOfMs until = v.arrived + patience;
-    // With nothing out no ending would serve it: it would only be held up.
-    const bool idle = total_in_flight_ == 0 && !running_backends_.empty();
-    const bool late = until <= now_ || now_ + answer_margin_ >= v.valid_until;
-    if (idle || v.is_client_retry || v.is_body_consumed || cannot_finish_in_time(v) || late || !may_reject(v)) return give_final_answer(i);
-    v.is_queued = true;
-    queue_.push_back(i);
-    at(until, i);
-    const double turns = recent_starts_.total(now_) * static_cast<double>(patience) / kSecond;
-    if (static_cast<double>(queue_.size()) <= turns + 1) return;
-    Index worst = i;
-    for (Index n : queue_)
-      if (value_per_work(invocations_[n]) < value_per_work(invocations_[worst])) worst = n;
+  // An answer that takes longer than this is slow. A large invocation takes long by itself: if its hint is
+  // known, a long time is no sign of a queue.
+  TenthsOfMs slow_threshold(const Invocation& invocation) const {
+    return static_cast<TenthsOfMs>(kSlowObjectiveShare *
+                                   static_cast<double>(workloads_[invocation.workload].latency_objective) *
+                                   relative_size(invocation));
+  }
+  // Expected size of an invocation relative to the mean of its workload: 1 without a hint.
+  double relative_size(const Invocation& invocation) const {
+    return invocation.has_hint ? 0.5 + 0.5 * invocation.work / mean_work_[invocation.workload] : 1;
+  }
+
+  // Billing value of an invocation per unit of backend time.
+  double value_per_work(const Invocation& invocation) const {
+    return workloads_[invocation.workload].billing_value / mean_latency_[invocation.workload];
+  }
+
+  // Queues an invocation that cannot be handed off if its turn is likely to come in time. Otherwise answers
+  // this invocation at once, or a queued one with less value per unit of backend time. A retry marked by the
+  // client never waits: its latency objective has run since the first attempt, and waiting made it late.
+  void enqueue_or_answer(Index index) {
+    Invocation& invocation = invocations_[index];
+    const TenthsOfMs max_wait = workloads_[invocation.workload].latency_objective / 8;
+    const TenthsOfMs wait_until = invocation.arrived + max_wait;
+    // With no hand-off in flight, none would end and serve the queue: the invocation would only be delayed.
+    const bool is_node_idle = total_in_flight_ == 0 && !running_backends_.empty();
+    const bool is_late = wait_until <= now_ || now_ + answer_margin_ >= invocation.valid_until;
+    if (is_node_idle || invocation.is_client_retry || invocation.is_body_consumed ||
+        cannot_finish_in_time(invocation) || is_late || !may_reject(invocation))
+      return give_final_answer(index);
+    invocation.is_queued = true;
+    queue_.push_back(index);
+    schedule_check(wait_until, index);
+    const double expected_starts = recent_starts_.total(now_) * static_cast<double>(max_wait) / kSecond;
+    if (static_cast<double>(queue_.size()) <= expected_starts + 1) return;
+    Index worst = index;
+    for (Index queued : queue_)
+      if (value_per_work(invocations_[queued]) < value_per_work(invocations_[worst])) worst = queued;
     give_final_answer(worst);
   }
 
+  // Hands off queued invocations, the most valuable first, while the node is below its limit.
   void serve_queue() {
     while (!queue_.empty() && total_in_flight_ < node_concurrency_limit_) {
       std::size_t best = queue_.size();
-      for (std::size_t n = 0; n < queue_.size(); ++n)
+      for (std::size_t position = 0; position < queue_.size(); ++position)
         if (best == queue_.size() ||
-            value_per_work(invocations_[queue_[n]]) > value_per_work(invocations_[queue_[best]]))
-          best = n;
-      const Index i = queue_[best];
-      if (!hand_off(i)) return;
+            value_per_work(invocations_[queue_[position]]) > value_per_work(invocations_[queue_[best]]))
+          best = position;
+      const Index index = queue_[best];
+      if (!try_hand_off(index)) return;
     }
   }
 
-  void stop_waiting(Index i) {
-    if (invocations_[i].probe_until > 0) {
-      invocations_[i].probe_until = 0;
-      probing_.erase(std::find(probing_.begin(), probing_.end(), i));
+  // Takes an invocation out of the queue and out of the wait for probes.
+  void stop_waiting(Index index) {
+    if (invocations_[index].probe_until > 0) {
+      invocations_[index].probe_until = 0;
+      probing_.erase(std::find(probing_.begin(), probing_.end(), index));
     }
-    if (!invocations_[i].is_queued) return;
-    invocations_[i].is_queued = false;
-    queue_.erase(std::find(queue_.begin(), queue_.end(), i));
+    if (!invocations_[index].is_queued) return;
+    invocations_[index].is_queued = false;
+    queue_.erase(std::find(queue_.begin(), queue_.end(), index));
   }
 
-  // ---- the list
+  // ---- the backend list
 
   void request_list(TenthsOfMs now) {
     now_ = now;
     queued_actions_.push_back({ActionKind::watch_discovery, kNone, kNone, 0, 0});
   }
+  // Requests the backend list again after a random delay that doubles with each failure, up to 8 times the
+  // first one.
   void retry_list_request() {
-    current_retry_gap_ = std::min(discovery_retry_gap_ * 8, current_retry_gap_ == 0 ? discovery_retry_gap_ : current_retry_gap_ * 2);
-    const TenthsOfMs wait = static_cast<TenthsOfMs>(static_cast<double>(current_retry_gap_) * (0.5 + uniform()));
-    at(now_ + wait, kNone);
-  }
-
-  // ---- odds and ends
-
-  bool is_known_hand_off(Index i, int n) const {
-    return i < invocations_.size() && n >= 0 && n < static_cast<int>(invocations_[i].hand_offs.size());
-  }
-  void forget_if_done(Index i) {
-    Invocation& v = invocations_[i];
-    if (!v.is_index_used || v.held || v.hand_offs_in_flight > 0) return;
-    v.is_index_used = false;
-    ++v.generation;
-    for (const HandOff& h : v.hand_offs) --backends_[h.backend].held, release_if_gone(h.backend);
-    v.hand_offs.clear();
-    actions_.push_back({ActionKind::forget, i, kNone, 0, 0});
-  }
-  // Backends come and go under ever new ids for as long as a node runs: what is kept must not grow with them.
-  void release_if_gone(Index n) {
-    Backend& b = backends_[n];
-    if (!b.is_known || b.listed || b.held > 0 || b.probes_in_flight > 0) return;
-    b = Backend{};
-    actions_.push_back({ActionKind::release, kNone, n, 0, 0});
+    current_retry_gap_ = std::min(discovery_retry_gap_ * 8,
+                                  current_retry_gap_ == 0 ? discovery_retry_gap_ : current_retry_gap_ * 2);
+    const TenthsOfMs wait =
+        static_cast<TenthsOfMs>(static_cast<double>(current_retry_gap_) * (0.5 + uniform()));
+    schedule_check(now_ + wait, kNone);
+  }
+
+  // ---- bookkeeping and timers
+
+  bool is_known_hand_off(Index index, int number) const {
+    return index < invocations_.size() && number >= 0 &&
+           number < static_cast<int>(invocations_[index].hand_offs.size());
+  }
+  // Frees the index of an invocation that is answered and has no hand-off in flight.
+  void forget_if_done(Index index) {
+    Invocation& invocation = invocations_[index];
+    if (!invocation.is_index_used || invocation.is_open || invocation.hand_offs_in_flight > 0) return;
+    invocation.is_index_used = false;
+    ++invocation.generation;
+    for (const HandOff& hand_off : invocation.hand_offs)
+      --backends_[hand_off.backend].remembered_hand_offs, release_if_gone(hand_off.backend);
+    invocation.hand_offs.clear();
+    actions_.push_back({ActionKind::forget, index, kNone, 0, 0});
+  }
+  // Backends come and go under new ids for as long as a node runs, so the state must not grow with the ids.
+  void release_if_gone(Index index) {
+    Backend& backend = backends_[index];
+    if (!backend.is_known || backend.is_listed || backend.remembered_hand_offs > 0 ||
+        backend.probes_in_flight > 0)
+      return;
+    backend = Backend{};
+    actions_.push_back({ActionKind::release, kNone, index, 0, 0});
   }
 
   double uniform() { return std::generate_canonical<double, 32>(random_); }
 
   struct Timer {
-    TenthsOfMs at;
+    TenthsOfMs due_at;
     std::uint64_t order;
     Index invocation;
     std::uint32_t generation;
-    bool operator>(const Timer& o) const { return std::pair(at, order) > std::pair(o.at, o.order); }
+    bool operator>(const Timer& other) const {
+      return std::pair(due_at, order) > std::pair(other.due_at, other.order);
+    }
   };
-  void at(TenthsOfMs when, Index i) { timers_.push({when, next_order_++, i, i == kNone ? 0 : invocations_[i].generation}); }
-  bool is_stale(const Timer& d) const { return d.invocation != kNone && invocations_[d.invocation].generation != d.generation; }
+  // Wakes the node at `when` to look at the invocation; kNone: to request the backend list again.
+  void schedule_check(TenthsOfMs when, Index index) {
+    timers_.push({when, next_order_++, index, index == kNone ? 0 : invocations_[index].generation});
+  }
+  bool is_stale(const Timer& timer) const {
+    return timer.invocation != kNone && invocations_[timer.invocation].generation != timer.generation;
+  }
   void run_due_timers() {
-    while (!timers_.empty() && timers_.top().at <= now_) {
-      const Timer d = timers_.top();
+    while (!timers_.empty() && timers_.top().due_at <= now_) {
+      const Timer timer = timers_.top();
       timers_.pop();
-      if (d.invocation == kNone) {
+      if (timer.invocation == kNone) {
         actions_.push_back({ActionKind::watch_discovery, kNone, kNone, 0, 0});
-      } else if (!is_stale(d)) {
-        const Invocation& v = invocations_[d.invocation];
-        if (v.is_queued || now_ + answer_margin_ >= v.valid_until) give_final_answer(d.invocation);
-        else if (v.abandon_check_at > 0 && v.abandon_check_at <= now_) abandon_if_unlikely(d.invocation);
-        else if (v.probe_until > 0 && v.probe_until <= now_) finish_probing(d.invocation);
-        else if (v.hedge_at > 0 && v.hedge_at <= now_) send_hedge(d.invocation);
+      } else if (!is_stale(timer)) {
+        const Invocation& invocation = invocations_[timer.invocation];
+        if (invocation.is_queued || now_ + answer_margin_ >= invocation.valid_until)
+          give_final_answer(timer.invocation);
+        else if (invocation.abandon_check_at > 0 && invocation.abandon_check_at <= now_)
+          abandon_if_unlikely(timer.invocation);
+        else if (invocation.probe_until > 0 && invocation.probe_until <= now_)
+          finish_probing(timer.invocation);
+        else if (invocation.hedge_at > 0 && invocation.hedge_at <= now_) send_hedge(timer.invocation);
       }
     }
   }
   void set_next_timer() {
-    // What is over needs no time of its own: nearly every invocation ends before its limit, and the node was
-    // woken once for each.
+    // A stale timer needs no wake-up: nearly every invocation ends before its limit, and the node was woken
+    // once for each.
     while (!timers_.empty() && is_stale(timers_.top())) timers_.pop();
-    if (timers_.empty() || (timer_set_for_ > now_ && timer_set_for_ <= timers_.top().at)) return;
-    timer_set_for_ = timers_.top().at;
+    if (timers_.empty() || (timer_set_for_ > now_ && timer_set_for_ <= timers_.top().due_at)) return;
+    timer_set_for_ = timers_.top().due_at;
     actions_.push_back({ActionKind::set_timer, kNone, kNone, 0, timer_set_for_});
   }
 
   std::knuth_b random_;
   const Index zone_;
-  const TenthsOfMs answer_margin_;  // no answer is left closer than this to its limit
+  const TenthsOfMs answer_margin_;  // no answer comes closer than this to its limit
   const TenthsOfMs window_bucket_;
-  int max_hand_offs_ = 1;  // this and the next: from the settings, by derive() alone
+  int max_hand_offs_ = 1;  // this and the following members: set by apply_settings() alone
   bool may_hedge_ = false, may_cancel_ = false, may_probe_ = false, prefers_own_zone_ = false;
-  double nodes_ = 1, initial_limit_ = 0, min_limit_ = 0, initial_capacity_share_ = 1, slow_start_multiple_ = 0;
+  double nodes_ = 1, initial_limit_ = 0, min_limit_ = 0, initial_capacity_share_ = 1,
+         slow_start_multiple_ = 0;
   TenthsOfMs pause_allowance_ = 0;
-  TenthsOfMs max_retry_after_ = 0;  // 0 where clients don't heed it
+  TenthsOfMs max_retry_after_ = 0;  // 0 if clients do not honor Retry-After
   TenthsOfMs slow_start_duration_ = 0, discovery_retry_gap_ = 0, keepalive_ = 0, report_lifetime_ = 0;
-  std::vector<Workload> workloads_;  // by index; some may be those of invocations under way alone
+  std::vector<Workload> workloads_;  // by index; some serve unfinished invocations only
 
   TenthsOfMs now_ = 0, timer_set_for_ = 0, current_retry_gap_ = 0;
-  TenthsOfMs answer_by_ = INT64_MAX;  // once the node stops
+  TenthsOfMs answer_by_ = INT64_MAX;  // deadline of a shutdown, once it is requested
   std::uint64_t next_order_ = 0;
-  std::vector<double> mean_work_;  // by workload
-  std::vector<double> mean_latency_;       // by workload: how long a success usually takes
+  std::vector<double> mean_work_;     // by workload
+  std::vector<double> mean_latency_;  // by workload: moving average of the time to a success
   std::vector<Backend> backends_;
   std::vector<Invocation> invocations_;
   std::vector<Index> running_backends_, running_in_zone_, subset_in_zone_, subset_, queue_, probing_;
@@ -1015,21 +1218,22 @@
   struct WarmThroughput {
     double work_done = 0, weight = 0;
   };
-  std::vector<WarmThroughput> warm_by_kind_;  // by kind
+  std::vector<WarmThroughput> warm_by_kind_;  // by machine kind
   WarmThroughput warm_total_;
-  double mean_in_flight_ = 0;         // in flight from this node when it hands one out
-  bool may_open_connection_ = true;          // drawn for each hand-off: whether it may open a connection
-  SlidingSum<8> recent_connects_, recent_connect_failures_;  // new connections that came up lately, or didn't
-  Health fleet_health_;                   // of all backends
+  double mean_in_flight_ = 0;                                // moving average of the hand-offs in flight
+  bool may_open_connection_ = true;                          // drawn for each hand-off
+  SlidingSum<8> recent_connects_, recent_connect_failures_;  // of new connections
+  Health fleet_health_;                                      // of all backends together
   std::vector<Health> fleet_health_by_workload_;
   std::vector<policy::AnswerProbability> answer_probability_;  // by workload
   int total_in_flight_ = 0;
-  double load_limit_ = 1e9;      // what a backend may hold for its size, learned from all answers together
-  double service_rate_ = 0;        // what backends with a backlog get done for their size; 0: not told
-  double admitted_share_ = 1;       // of what comes in that is sent on
+  double load_limit_ = 1e9;  // highest reported load of a backend with capacity, learned from all answers
+  // What backends with a backlog get done, in invocations per tenth of a millisecond and weight; 0: unknown.
+  double service_rate_ = 0;
+  double admitted_share_ = 1;  // share of new invocations that is handed off
   TenthsOfMs admitted_share_at_ = 0;
-  double node_concurrency_limit_ = 0;  // learned from all answers together
-  SlidingSum<10> recent_starts_;       // hand-offs begun in the last second
+  double node_concurrency_limit_ = 0;  // learned from all answers
+  SlidingSum<10> recent_starts_;       // hand-offs sent in the last second
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::vector<Action> actions_, queued_actions_;
 };
--- a/src/decide.h
+++ b/src/decide.h
@@ -1,4 +1,8 @@
-// What the decision module is told and what it answers: plain types, no wire words, no decisions.
+// The interface of the decision module: the settings it works by, the events it receives and the actions that
+// it returns. All types are plain values without wire formats, and hold no decision logic.
+//
+// Points in time and durations are TenthsOfMs. Backends, invocations, workloads, tenants, zones and machine
+// kinds are named by dense indices, which the caller assigns.
 #pragma once
 
 #include <cstdint>
@@ -8,125 +12,145 @@
 
 namespace troutstage {
 
-using TenthsOfMs = std::int64_t;  // a point in time or a span, in tenths of a millisecond
-using Index = std::uint32_t;  // a small number given to an id when it first comes in
+using TenthsOfMs = std::int64_t;  // a point in time or a duration, in tenths of a millisecond
+using Index = std::uint32_t;      // dense index that an id gets when it is first seen
 inline constexpr Index kNone = UINT32_MAX;
 
+// What an invocation that may have run already does if it runs again.
 enum class Semantics { idempotent, idempotency_keyed, non_idempotent };
+// The backends that detect a repeated idempotency key: all of them, or those in the zone or the cell of the
+// first one.
 enum class DeduplicationScope { all, zone, cell };
 
 struct Workload {
   Semantics semantics = Semantics::non_idempotent;
-  DeduplicationScope deduplication_scope = DeduplicationScope::cell;  // labelled: which backends drop a repeat
-  TenthsOfMs deduplication_window = 0;          // labelled: for how long, from the first send that may have run
+  DeduplicationScope deduplication_scope = DeduplicationScope::cell;  // idempotency_keyed only
+  // idempotency_keyed only: how long a repeat is detected, from the first hand-off that may have run.
+  TenthsOfMs deduplication_window = 0;
   TenthsOfMs latency_objective = 0;
   TenthsOfMs time_limit = 0;
   double billing_value = 1;
-  double late_value_share = 0;  // part of the billing value paid after the due time
+  double late_value_share = 0;  // part of the billing value that is paid after the latency objective
   bool operator==(const Workload&) const = default;
 };
 
 struct Tenant {
   double share = 1;
-  double quota_per_s = 0;  // summed over all nodes
+  double quota_per_s = 0;  // for all nodes together
 };
 
 struct Settings {
-  std::uint64_t seed = 0;
-  Index zone = 0;  // of this node
+  std::uint64_t seed = 0;  // of the random draws
+  Index zone = 0;          // of this node
   int nodes = 1;
-  int max_hand_offs = 1;
-  bool is_discovery_on_request = true;  // the list comes only when asked for
-  bool may_cancel = false;
-  bool may_probe = false;  // and a probe brings a report of what all nodes together have at the backend
-  bool may_hedge = false;
+  int max_hand_offs = 1;                // per invocation
+  bool is_discovery_on_request = true;  // the backend list arrives only after the action watch_discovery
+  bool may_cancel = false;              // hand-offs in flight may be cancelled
+  bool may_probe = false;  // a probe's answer reports the load that all nodes together put on the backend
+  bool may_hedge = false;  // hedged requests are allowed
   bool client_honors_retry_after = false;
   bool is_billed_by_work = false;
   double beyond_share_value = 1;
-  double cross_zone_cost = 0;  // for each hand-off between zones
-  double connect_cost = 0;     // for each new connection
+  double cross_zone_cost = 0;  // of each hand-off between zones
+  double connect_cost = 0;     // of each new connection
   TenthsOfMs max_retry_after = 0;
   TenthsOfMs tick = 10;
-  TenthsOfMs pause_allowance = 0;  // so long before its limit an invocation is answered whose attempts are not likely to be
+  // How long before its limit an invocation is answered if its hand-offs are unlikely to be answered in time.
+  TenthsOfMs pause_allowance = 0;
   TenthsOfMs connect_timeout = 0;
-  TenthsOfMs keepalive = 0;  // idle connections close after this
+  TenthsOfMs keepalive = 0;  // an idle connection is closed after this time
   TenthsOfMs drain_grace = 0;
-  TenthsOfMs discovery_retry_within = 0;
-  TenthsOfMs slow_start_window = 0;
-  TenthsOfMs slow_start_duration = 0;
-  double slow_start_multiple = 1;
-  double slow_start_budget_share = 1;  // of what this node may send to cold backends: another process may have the rest
-  double initial_capacity_share = 1;
+  TenthsOfMs discovery_retry_within = 0;  // discovery that failed is asked again well within this time
+  TenthsOfMs slow_start_window = 0;       // work sent to a backend in slow start is summed over this time
+  TenthsOfMs slow_start_duration = 0;     // from the start of a backend to its full capacity
+  double slow_start_multiple = 1;         // sent more than this multiple of its capacity, a backend fails
+  // Part of this node's slow-start budget that this process may use; another process of the node may use the
+  // rest.
+  double slow_start_budget_share = 1;
+  double initial_capacity_share = 1;  // share of its full capacity that a backend has at its start
   std::vector<Workload> workloads;
   std::vector<Tenant> tenants;
 };
 
 enum class Availability { running, stopping, deleted };
+// How a list from discovery is to be read: as changes or as the complete list, fresh or cached. failed: the
+// request failed and there is no list.
 enum class ListForm { delta, full, cached, failed };
 
 struct ListEntry {
   Index backend = kNone;
-  Index machine_kind = kNone;  // machine kind
+  Index machine_kind = kNone;
   Index zone = kNone;
   std::int64_t cell = 0;
-  TenthsOfMs started_at = 0;  // 0: a long time back
+  TenthsOfMs started_at = 0;  // 0: long ago, slow start is over
   Availability availability = Availability::running;
   double weight = 1;
 };
 
+// How a hand-off ended, and whether the backend may have run the invocation.
 enum class Ending {
   succeeded,
   error,        // may have run
-  turned_away,  // never ran
+  turned_away,  // the backend refused it: never ran
   timed_out,    // may have run
-  unreachable,  // never ran
-  broken,       // may have run
-  recalled,     // may have run
-  never_sent,   // never ran; nor is it a sign against the backend
+  unreachable,  // no connection: never ran
+  broken,       // the connection broke: may have run
+  recalled,     // cancelled by this node: may have run
+  never_sent,   // never ran, and says nothing about the backend
 };
 
+// Events.
+
+// The backend list of discovery, or changes to it.
 struct FleetList {
   ListForm form = ListForm::full;
   std::vector<ListEntry> entries;
 };
+// A client asks for an invocation.
 struct Arrival {
   Index invocation = kNone;
   Index workload = 0;
   Index tenant = kNone;
   TenthsOfMs valid_until = 0;
-  double hint = 0;  // expected work in tenths of a millisecond; 0: not told
+  double hint = 0;  // work that the client expects, in tenths of a millisecond; 0: unknown
   bool is_client_retry = false;
-  bool has_streaming_body = false;  // its body is still coming: only one hand-off can carry it on
-  TenthsOfMs arrived = INT64_MAX;  // when its last byte came; what is later than its handling counts as that
+  bool has_streaming_body = false;  // the body is still arriving: only one hand-off can forward it
+  TenthsOfMs arrived =
+      INT64_MAX;  // when its last byte arrived; a time after the event's counts as the event's
 };
+// A hand-off ended: exactly one event for each action hand_off, also after a cancel.
 struct HandOffEnded {
   Index invocation = kNone;
   int number = 0;
   Ending ending = Ending::succeeded;
-  bool is_final = false;  // the invocation is finished
+  bool is_final = false;  // the invocation has its final answer
   TenthsOfMs elapsed = 0;
-  bool is_body_consumed = false;       // of its body nothing is left that could be sent again
+  bool is_body_consumed = false;  // no part of the body is left that could be sent again
 };
+// The answer of this hand-off is being forwarded to the client: the invocation can get no other answer.
 struct AnswerStarted {
   Index invocation = kNone;
   int number = 0;
 };
-// A piece of a long answer has come, which is kept until it is whole or passed on.
+// A piece of a long answer has arrived, which is buffered or forwarded.
 struct AnswerProgress {
   Index invocation = kNone;
   int number = 0;
 };
+// The client disconnected.
 struct ClientGone {
   Index invocation = kNone;
 };
+// The time of the last action set_timer has come.
 struct TimerDue {};
-// What a backend tells of itself; -1: not told.
+// The load that a backend reports of itself; -1: not reported.
 struct LoadReport {
-  double outstanding = -1;  // invocations that it holds
-  double backlog = -1;      // those of them that wait
-  double utilization = -1;  // of its cores
-  double throughput = -1;   // invocations a second
+  double outstanding = -1;  // invocations at the backend, queued or running
+  double backlog = -1;      // the queued part of them
+  double utilization = -1;  // of its cores, 0 to 1
+  double throughput = -1;   // invocations per second
 };
+// The answer to a probe arrived, or the probe failed.
 struct ProbeEnded {
   Index backend = kNone;
   bool succeeded = false;
@@ -134,32 +158,35 @@
   LoadReport report;
 };
 
-// Holds for what arrives from now on; what is under way keeps its workload's terms and its number of hand-offs.
+// Replaces the settings for invocations that arrive from now on. Unfinished invocations keep the terms of
+// their workload and their number of hand-offs.
 struct NewSettings {
-  std::shared_ptr<const Settings> settings;  // seed, zone, tick and the fall window stay as they were
-  std::vector<Index> inherits_from;  // by workload: whose past it goes on from, its own if it stays; kNone: it has none
+  std::shared_ptr<const Settings> settings;  // seed, zone, tick and slow_start_window must not change
+  // By workload: the index whose statistics it inherits, its own index if it stays; kNone: no statistics.
+  std::vector<Index> inherits_from;
 };
-// The node is told to end: nothing that it holds, or takes from now on, is left unanswered then.
+// The node shuts down: every invocation that it has or accepts from now on is answered by answer_by.
 struct ShutdownRequested {
   TenthsOfMs answer_by = 0;
 };
-struct BackendCounts {};  // asks how many backends are listed, and how many of them are avoided now
+// Asks how many backends are listed and how many of them are avoided now. The action backend_counts answers.
+struct BackendCounts {};
 
-using Event =
-    std::variant<FleetList, Arrival, HandOffEnded, AnswerStarted, AnswerProgress, ClientGone, TimerDue, ProbeEnded, NewSettings,
-                 ShutdownRequested, BackendCounts>;
+using Event = std::variant<FleetList, Arrival, HandOffEnded, AnswerStarted, AnswerProgress, ClientGone,
+                           TimerDue, ProbeEnded, NewSettings, ShutdownRequested, BackendCounts>;
 
+// The members of Action that each kind uses follow it.
 enum class ActionKind {
-  hand_off,   // invocation, backend, at: when to drop it
-  reject,     // invocation, at: how long the client should wait, or 0
-  give_up,    // invocation
-  cancel,     // invocation, number
-  set_timer,  // at: TimerDue is to be given then, once. The newest takes the place of the one before
-  watch_discovery,      // the list, from here on
-  probe,      // backend
-  forget,     // invocation: the index may be used again
-  release,    // backend: the same, until the list names it again
-  backend_counts,     // at: how many are listed, number: how many of them are avoided
+  hand_off,         // invocation, backend, at: deadline of the hand-off, begin_by
+  reject,           // invocation, at: the Retry-After duration, or 0
+  give_up,          // invocation
+  cancel,           // invocation, number
+  set_timer,        // at: when to send TimerDue, once. Replaces the previous timer
+  watch_discovery,  // requests the backend list, and its changes from then on
+  probe,            // backend
+  forget,           // invocation: its index may be used again
+  release,          // backend: nothing refers to its index, which may name another backend from now on
+  backend_counts,   // at: number of listed backends, number: how many of them are avoided
 };
 
 struct Action {
@@ -168,11 +195,13 @@
   Index backend = kNone;
   int number = 0;
   TenthsOfMs at = 0;
-  TenthsOfMs begin_by = INT64_MAX;  // hand_off: it is sent before this, or not at all
+  TenthsOfMs begin_by = INT64_MAX;  // hand_off: it is sent before this time or not at all
 };
 
-// One node's decisions. Events go in one by one in the order of their arrival; the actions that come back
-// are carried out in the order they stand in, before the next event is given.
+// The decisions of one node. The caller passes events one by one in the order of their arrival, and carries
+// out the returned actions in their order before it passes the next event.
+//
+// Not thread-safe; the caller serializes all calls.
 class Decider {
  public:
   explicit Decider(const Settings& settings, TenthsOfMs now);
@@ -180,6 +209,8 @@
   Decider(Decider&&) noexcept;
   Decider& operator=(Decider&&) noexcept;
 
+  // Handles one event. `now` must not decrease from call to call. The returned actions are valid until the
+  // next call.
   const std::vector<Action>& decide(TenthsOfMs now, const Event& event);
 
  private:
--- a/src/policy/connection_reuse.cpp
+++ b/src/policy/connection_reuse.cpp
@@ -2,7 +2,7 @@
 
 namespace troutstage::policy {
 
-void ConnectionReuse::record_quiet(BackendInstanceId backend, Span rested, TimePoint now) {
+void ConnectionReuse::record_quiet(BackendInstanceId backend, Duration rested, TimePoint now) {
   if (rested < proving_cooldown(backend)) return;
   Record& record = records_[backend];
   record.updated_at = now;
@@ -14,7 +14,7 @@
 }
 
 void ConnectionReuse::forget_before(TimePoint limit) {
-  std::erase_if(records_, [limit](const auto& one) { return one.second.updated_at < limit; });
+  std::erase_if(records_, [limit](const auto& entry) { return entry.second.updated_at < limit; });
 }
 
 bool ConnectionReuse::may_keep_connections(BackendInstanceId backend, TimePoint now) const {
@@ -22,13 +22,13 @@
   return record == records_.end() || now >= record->second.distrusted_until;
 }
 
-ConnectionReuse::Span ConnectionReuse::cooldown(BackendInstanceId backend) const {
+ConnectionReuse::Duration ConnectionReuse::cooldown(BackendInstanceId backend) const {
   const auto record = records_.find(backend);
   const bool is_proven = record != records_.end() && record->second.proofs >= rules_.proofs;
   return is_proven ? rules_.cooldown : proving_cooldown(backend);
 }
 
-ConnectionReuse::Span ConnectionReuse::proving_cooldown(BackendInstanceId backend) const {
+ConnectionReuse::Duration ConnectionReuse::proving_cooldown(BackendInstanceId backend) const {
   const auto record = records_.find(backend);
   const bool was_distrusted = record != records_.end() && record->second.was_distrusted;
   return was_distrusted ? rules_.distrusted_cooldown : rules_.unproven_cooldown;
--- a/src/policy/connection_reuse.h
+++ b/src/policy/connection_reuse.h
@@ -1,9 +1,11 @@
-// When a connection to a backend may carry another request. HTTP/1.1 has no mark that tells whose answer comes on it,
-// so a backend that answers twice would have its second copy taken for the answer to the next request.
+// Decides when a connection to a backend may carry another request. HTTP/1.1 does not mark which request an
+// answer belongs to: if a backend sent its answer twice, the second copy would be taken for the answer to the
+// next request.
 //
-// A connection rests after each answer: briefly, once its backend has proven that nothing comes behind its answers. One
-// that was seen to send what nobody asked for gets its connections used once each for a while, and has to prove itself
-// anew. It does no I/O and reads no clock.
+// A connection stays unused for a cooldown after each answer. The cooldown is short once the backend has
+// proven that it sends nothing after its answers. If a backend sends unsolicited bytes, each of its
+// connections is used only once for some time, and the backend has to prove itself again. The class does no
+// I/O and reads no clock. It is not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -12,36 +14,39 @@
 
 namespace troutstage::policy {
 
+// The times and counts that ConnectionReuse works by.
 struct ReuseRules {
-  using Span = std::chrono::steady_clock::duration;
-  Span cooldown = std::chrono::milliseconds(20);  // at a backend that has proven quiet
-  // At one of which nothing is known. Longer than a delayed acknowledgement (40 ms), a hold-up of the backend (150 ms) and
-  // a first retransmission (200 ms).
-  Span unproven_cooldown = std::chrono::milliseconds(250);
-  Span distrusted_cooldown = std::chrono::seconds(1);  // at one that was distrusted and has not proven quiet since
-  int proofs = 2;                            // rests of the last two kinds without a byte after which it counts as quiet
-  Span distrust_period = std::chrono::seconds(30);
+  using Duration = std::chrono::steady_clock::duration;
+  Duration cooldown = std::chrono::milliseconds(20);  // at a backend that has proven quiet
+  // At a backend of which nothing is known. Longer than a delayed acknowledgement (40 ms), a stall of the
+  // backend (150 ms) and a first retransmission (200 ms).
+  Duration unproven_cooldown = std::chrono::milliseconds(250);
+  // At a backend that has sent unsolicited bytes and has not proven quiet since.
+  Duration distrusted_cooldown = std::chrono::seconds(1);
+  // A backend has proven quiet after this many of the two longer cooldowns without a byte.
+  int proofs = 2;
+  Duration distrust_period = std::chrono::seconds(30);  // no reuse for this time after unsolicited bytes
 };
 
 class ConnectionReuse {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
-  using Span = ReuseRules::Span;
-  // Names a backend for as long as it lives; never given again.
+  using Duration = ReuseRules::Duration;
+  // Identifies a backend from its start to its end; never used again.
   using BackendInstanceId = std::uint64_t;
 
   explicit ConnectionReuse(const ReuseRules& rules) : rules_(rules) {}
-  // Nothing came on one of its connections that had rested for so long.
-  void record_quiet(BackendInstanceId backend, Span rested, TimePoint now);
-  // Bytes came that belong to no request of this node.
+  // No byte arrived on a connection that was idle for `rested`.
+  void record_quiet(BackendInstanceId backend, Duration rested, TimePoint now);
+  // Bytes arrived that belong to no request of this node.
   void record_unsolicited_bytes(BackendInstanceId backend, TimePoint now);
-  // False: its connections are to be closed after one answer.
+  // False: connections to the backend have to be closed after one answer.
   bool may_keep_connections(BackendInstanceId backend, TimePoint now) const;
-  // How long a connection has to rest after an answer before it may carry another request.
-  Span cooldown(BackendInstanceId backend) const;
-  // After how long a rest a look at a connection tells something of its backend.
-  Span proving_cooldown(BackendInstanceId backend) const;
-  // Drops what was last noted before.
+  // How long a connection stays unused after an answer before it may carry another request.
+  Duration cooldown(BackendInstanceId backend) const;
+  // How long a connection has to be idle before its silence counts as a proof that the backend is quiet.
+  Duration proving_cooldown(BackendInstanceId backend) const;
+  // Drops the records that were last updated before `limit`.
   void forget_before(TimePoint limit);
 
  private:
