--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -324,7 +324,8 @@
     Invocation& invocation = invocations_[ended.invocation];
     HandOff& hand_off = invocation.hand_offs[ended.number];
     record_answer_time(invocation, ended);
-    // The backend had as much time as one that is waited for up to the limit, so this counts as a time-out.
+    // An early abandoned hand-off had about as much time as a hand-off that runs up to the limit, so its end
+    // counts as a time-out.
     if (hand_off.was_abandoned && ended.ending == Ending::recalled) ended.ending = Ending::timed_out;
     Backend& backend = backends_[hand_off.backend];
     if (hand_off.execution != Execution::in_flight) return;
@@ -1149,6 +1150,8 @@
 
   double uniform() { return std::generate_canonical<double, 32>(random_); }
 
+  // A time at which to look at an invocation, or with kNone to request the backend list. `order` is that of
+  // creation and decides between timers of the same time.
   struct Timer {
     TenthsOfMs due_at;
     std::uint64_t order;
@@ -1235,6 +1238,7 @@
   double node_concurrency_limit_ = 0;  // learned from all answers
   SlidingSum<10> recent_starts_;       // hand-offs sent in the last second
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
+  // The actions of the current event, and those of the constructor until the first event.
   std::vector<Action> actions_, queued_actions_;
 };
 
--- a/src/decide.h
+++ b/src/decide.h
@@ -16,7 +16,8 @@
 using Index = std::uint32_t;      // dense index that an id gets when it is first seen
 inline constexpr Index kNone = UINT32_MAX;
 
-// What an invocation that may have run already does if it runs again.
+// Whether an invocation that may have run may be sent again: always; with its idempotency key, to the
+// backends and for the time that detect a repeat; never.
 enum class Semantics { idempotent, idempotency_keyed, non_idempotent };
 // The backends that detect a repeated idempotency key: all of them, or those in the zone or the cell of the
 // first one.
@@ -115,10 +116,10 @@
   double hint = 0;  // work that the client expects, in tenths of a millisecond; 0: unknown
   bool is_client_retry = false;
   bool has_streaming_body = false;  // the body is still arriving: only one hand-off can forward it
-  TenthsOfMs arrived =
-      INT64_MAX;  // when its last byte arrived; a time after the event's counts as the event's
+  // When the last byte of its request arrived. A time after that of the event counts as that of the event.
+  TenthsOfMs arrived = INT64_MAX;
 };
-// A hand-off ended: exactly one event for each action hand_off, also after a cancel.
+// A hand-off ended. Every action hand_off leads to this event, also after a cancel.
 struct HandOffEnded {
   Index invocation = kNone;
   int number = 0;
@@ -161,7 +162,8 @@
 // Replaces the settings for invocations that arrive from now on. Unfinished invocations keep the terms of
 // their workload and their number of hand-offs.
 struct NewSettings {
-  std::shared_ptr<const Settings> settings;  // seed, zone, tick and slow_start_window must not change
+  // Seed, zone, tick and slow_start_window keep their old values.
+  std::shared_ptr<const Settings> settings;
   // By workload: the index whose statistics it inherits, its own index if it stays; kNone: no statistics.
   std::vector<Index> inherits_from;
 };
@@ -209,8 +211,7 @@
   Decider(Decider&&) noexcept;
   Decider& operator=(Decider&&) noexcept;
 
-  // Handles one event. `now` must not decrease from call to call. The returned actions are valid until the
-  // next call.
+  // Handles an event that arrived at `now`. The returned actions are valid until the next call.
   const std::vector<Action>& decide(TenthsOfMs now, const Event& event);
 
  private:
