--- a/src/core/answer_hold.cpp
+++ b/src/core/answer_hold.cpp
@@ -8,11 +8,13 @@
 
 using std::chrono::milliseconds;
 
-// What has come may be kept for less than 2 s, where its client waits for much longer.
+// Received bytes may be withheld from a client for less than 2 s if the client waits for much longer than
+// that.
 constexpr milliseconds kMaxBufferingTime{1700};
-// A limit that is further away than the longest usual deadline, 3 s, is far.
+// The longest usual deadline of a client is 3 s. A deadline further away than this value counts as far.
 constexpr milliseconds kFarDeadline{3500};
-constexpr std::size_t kMinBytesPerMs = 16;  // bytes; a slower one is taken for one that never ends
+// Minimum average rate in bytes per millisecond. A slower answer is treated as an answer that never ends.
+constexpr std::size_t kMinBytesPerMs = 16;
 
 }  // namespace
 
@@ -25,13 +27,13 @@
 
 AnswerBuffering::Decision AnswerBuffering::at(TimePoint now) const {
   if (now >= deadline_) return Decision::give_up;
-  const bool was_kept_long = now - started_at_ >= kMaxBufferingTime;
-  return is_deadline_far() && was_kept_long && is_fast_enough(now) ? Decision::forward : Decision::buffer;
+  const bool was_buffered_long = now - started_at_ >= kMaxBufferingTime;
+  return is_deadline_far() && was_buffered_long && is_fast_enough(now) ? Decision::forward : Decision::buffer;
 }
 
 AnswerBuffering::TimePoint AnswerBuffering::next_decision_at(TimePoint now) const {
-  const TimePoint longest = started_at_ + kMaxBufferingTime;
-  return is_deadline_far() && now < longest ? longest : deadline_;
+  const TimePoint buffering_end = started_at_ + kMaxBufferingTime;
+  return is_deadline_far() && now < buffering_end ? buffering_end : deadline_;
 }
 
 }  // namespace troutstage::core
--- a/src/core/answer_hold.h
+++ b/src/core/answer_hold.h
@@ -1,12 +1,15 @@
-// Whether a long answer that has begun to come is still kept back from its client. Kept, another backend's
-// may take its place, or the request may be refused; passed on, only its own end is left.
+// Decides whether a long answer that has started to arrive is buffered, forwarded to the client, or given up.
 //
-// Where its request's limit is near, an answer is passed on whole or not at all: one that is not whole at the limit comes too
-// late however steadily it comes, and may never end. Where the limit is far, it is passed on once it was kept for as long as is
-// allowed.
+// While an answer is only buffered, the answer of another backend can replace it, or the invocation can be
+// rejected. Once the first byte has been forwarded to the client, only this answer can complete the
+// invocation.
 //
-// How to call it: note() each piece; ask at() after each, and when next_look() has come. It does no I/O and
-// reads no clock.
+// If the deadline of the invocation is near, the answer is forwarded only when it is complete. An answer that
+// is incomplete at the deadline is too late however steadily it arrives, and it may never end. If the
+// deadline is far away, the answer is forwarded after the longest permitted buffering time.
+//
+// Usage: call add_received() for each piece, and call at() after each piece and when next_decision_at() is
+// reached. The class does no I/O, reads no clock and is not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -14,24 +17,37 @@
 
 namespace troutstage::core {
 
+// Decides about one answer, from the time at which its buffering starts.
 class AnswerBuffering {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
-  enum class Decision { buffer, forward, give_up };
+  enum class Decision {
+    buffer,   // keep reading, forward nothing yet
+    forward,  // start to send the buffered bytes to the client
+    give_up   // the deadline has passed: drop the answer
+  };
+
+  // `begun`: when buffering starts.
+  // `due`: the deadline; until then the invocation can still get another final answer.
+  // `had`: the number of body bytes that were received before `begun`.
+  AnswerBuffering(TimePoint begun, TimePoint due, std::size_t had)
+      : started_at_(begun), deadline_(due), received_bytes_(had) {}
 
-  // `due`: until when its request may be answered otherwise.
-  // `had`: bytes of it that had come when it was first kept.
-  AnswerBuffering(TimePoint begun, TimePoint due, std::size_t had) : started_at_(begun), deadline_(due), received_bytes_(had) {}
-  void add_received(std::size_t bytes) { received_bytes_ += bytes; }  // each piece that came since
+  // Adds the size of a piece that was received.
+  void add_received(std::size_t bytes) { received_bytes_ += bytes; }
+
+  // What to do with the answer at `now`.
   Decision at(TimePoint now) const;
-  TimePoint next_decision_at(TimePoint now) const;  // when at() may change with no further piece
+
+  // The earliest time after `now` at which the decision can change without another piece.
+  TimePoint next_decision_at(TimePoint now) const;
 
  private:
   bool is_deadline_far() const;
   bool is_fast_enough(TimePoint now) const;
 
   const TimePoint started_at_, deadline_;
-  std::size_t received_bytes_;  // all that came
+  std::size_t received_bytes_;  // body bytes received so far, with those from before started_at_
 };
 
 }  // namespace troutstage::core
--- a/src/core/arrival_estimate.cpp
+++ b/src/core/arrival_estimate.cpp
@@ -28,8 +28,8 @@
   return has_bytes_ && latest_ - earliest_ <= kMaxCheckGap ? latest_ : earliest_;
 }
 
-ArrivalEstimate::TimePoint ArrivalEstimate::arrival_by_system_time(TimePoint told) const {
-  return has_bytes_ ? std::clamp(told, earliest_, last_bytes_found_at_) : earliest_;
+ArrivalEstimate::TimePoint ArrivalEstimate::arrival_by_system_time(TimePoint reported) const {
+  return has_bytes_ ? std::clamp(reported, earliest_, last_bytes_found_at_) : earliest_;
 }
 
 }  // namespace troutstage::core
--- a/src/core/arrival_estimate.h
+++ b/src/core/arrival_estimate.h
@@ -1,54 +1,61 @@
-// When the last byte of a request came, from the looks that its reader took at the connection.
+// Estimates when the last byte of a request arrived, from checks of the client's socket.
 //
-// A look is a call that says whether something unread is there. What a look finds came after the look before it had
-// begun, where that found nothing, and before it ended itself. A call that fails is no look: it says nothing.
+// A check is a system call that reports whether the socket has unread bytes. Bytes that a check finds arrived
+// after the start of the preceding check, if that check found nothing, and before the end of the check that
+// found them. A call that fails gives no information and does not count as a check.
 //
-// How to call it: report each look with the time at which it ended, before the next one begins, from one thread at a
-// time. It does no I/O and reads no clock.
+// Usage: report each check with the time at which it ended, before the next check starts, from one thread at
+// a time. The class does no I/O and reads no clock.
 //
-// What the system tells of the same is a claim, not a look: it chooses among the moments that the looks allow.
+// The arrival time that the kernel reports is not a check and is not trusted alone. It selects a time within
+// the interval that the checks allow.
 #pragma once
 
 #include <chrono>
 
 namespace troutstage::core {
 
+// The interval in which the bytes of one request at a time arrived on one connection.
 class ArrivalEstimate {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
-  // Whoever waits for bytes looks so often.
+  // A thread that waits for bytes checks its sockets at this interval.
   static constexpr std::chrono::milliseconds kCheckInterval{20};
-  // Two looks in a row take no longer than this, unless their thread is held up.
+  // Two successive checks lie no further apart than this, unless their thread was stalled.
   static constexpr std::chrono::milliseconds kMaxCheckGap{45};
 
-  // `nothing_until`: no byte of the request had come by then.
-  explicit ArrivalEstimate(TimePoint no_bytes_until) : earliest_(no_bytes_until), last_check_(no_bytes_until) {}
+  // `no_bytes_until`: no byte of the request had arrived by this time.
+  explicit ArrivalEstimate(TimePoint no_bytes_until)
+      : earliest_(no_bytes_until), last_check_(no_bytes_until) {}
 
-  // No byte of the next request had come by `moment`: read before a call that found nothing, or before the answer
-  // that its sender waits for.
+  // Starts the estimate of the next request: no byte of that request had arrived by `moment`. `moment` was
+  // read before a check that found nothing, or before the answer that the client waits for was sent.
   void no_bytes_until(TimePoint moment);
-  // A look that ended at `now` found nothing unread.
+  // A check that ended at `now` found no unread byte.
   void found_no_bytes(TimePoint now);
-  // A look that ended at `now` found bytes. Later ones change nothing until a look finds nothing.
+  // A check that ended at `now` found unread bytes. Further calls leave earliest() and latest() as they are
+  // until a check finds nothing.
   void found_bytes(TimePoint now);
 
   bool has_bytes() const { return has_bytes_; }
-  // What was found came between these two.
+  // The first bytes that a check found arrived between earliest() and latest().
   TimePoint earliest() const { return earliest_; }
   TimePoint latest() const { return latest_; }
-  // Bytes that belong to it may have come up to here.
+  // End of the last check that found bytes: further bytes of the same request may have arrived until then.
   TimePoint last_bytes_found_at() const { return last_bytes_found_at_; }
-  // The latest where no more than kLongestGap lies between the two, else the earliest: a request counted as too old is
-  // answered early, one counted as too young is answered after its client has gone.
+  // The estimated arrival: latest() if the interval is no longer than kMaxCheckGap, else earliest(). A
+  // request that is estimated too old is answered early; a request that is estimated too young is answered
+  // after its client has left.
   TimePoint arrival() const;
-  // The same where the system, which was seen to tell the truth, tells when the last byte came.
-  TimePoint arrival_by_system_time(TimePoint told) const;
+  // The estimated arrival where the kernel's times proved right: `reported`, the kernel's time for the last
+  // byte, limited to the interval from earliest() to last_bytes_found_at().
+  TimePoint arrival_by_system_time(TimePoint reported) const;
 
  private:
   TimePoint earliest_;
-  TimePoint last_check_;  // its end: the next one begins after it
+  TimePoint last_check_;  // end of the last check; the next check starts after it
   TimePoint latest_{};
-  TimePoint last_bytes_found_at_{};  // the end of the last look that found bytes
+  TimePoint last_bytes_found_at_{};
   bool has_bytes_ = false;
 };
 
--- a/src/core/balancer.h
+++ b/src/core/balancer.h
@@ -1,5 +1,11 @@
-// The decisions in blocking style: an invocation is taken, pick() says what to do for it next, report() how
-// that went, tick() lets time pass. It does no I/O; its callers never see the module's events or actions.
+// Thread-safe, blocking interface to the decision module (decide.h).
+//
+// A client's thread calls accept() for an invocation, then next_instruction() in a loop, and report() for
+// each hand-off that has ended. One thread runs the timer with run_ticks(). The class does no I/O. Events and
+// actions of the decision module stay inside; callers see only instructions.
+//
+// Times are in tenths of a millisecond of the Clock that the constructor gets. All public functions may be
+// called from any thread.
 #pragma once
 
 #include <condition_variable>
@@ -14,94 +20,118 @@
 
 namespace troutstage::core {
 
-// What is known of an invocation that comes in.
+// What is known of an invocation when it is accepted.
 struct IncomingInvocation {
   Index workload = 0;
   Index tenant = kNone;
-  TenthsOfMs valid_until = 0;
-  double hint = 0;  // expected work in tenths of a millisecond; 0: not told
+  TenthsOfMs valid_until = 0;  // end of the client's time limit
+  double hint = 0;             // expected work in tenths of a millisecond; 0: the client gave no estimate
   bool is_client_retry = false;
-  bool has_streaming_body = false;  // its body is still coming
-  std::shared_ptr<const void> workload_reference;  // on the workload's number, to the invocation's end
-  TenthsOfMs arrived = INT64_MAX;         // when its last byte came; what is later than its taking counts as that
+  bool has_streaming_body = false;  // the request body is still arriving
+  // Keeps the workload's index in use until the invocation ends.
+  std::shared_ptr<const void> workload_reference;
+  // When the last byte of the request arrived. A time after accept() counts as the time of accept().
+  TenthsOfMs arrived = INT64_MAX;
 };
 
+// What the caller of next_instruction() does. kInstructionNames in src/net/ names the values in this order.
 enum class InstructionKind {
-  hand_off,   // number, backend, until, begin_by: try this one
-  cancel,     // number: stop waiting for it
-  succeeded,  // number: its answer is the invocation's. This and the ones below are final
-  reject,     // retry_in
-  give_up,
-  gone,  // the client is: nobody waits for an answer
+  hand_off,   // send the invocation to a backend; uses number, backend, until, begin_by
+  cancel,     // cancel hand-off `number`, which is in flight
+  succeeded,  // final: send the client the answer of hand-off `number`
+  reject,     // final: reject the invocation; uses retry_in
+  give_up,    // final: report to the client that the invocation was given up
+  gone,       // final: the client has disconnected, no answer is sent
 };
+// One instruction. The comments name the kinds that use a field.
 struct Instruction {
   InstructionKind what = InstructionKind::give_up;
-  int number = 0;
-  Index backend = kNone;
-  TenthsOfMs until = 0;
-  TenthsOfMs retry_in = 0;
-  TenthsOfMs begin_by = INT64_MAX;  // hand_off: it is sent before this, or not at all
+  int number = 0;                   // number of the hand-off within its invocation, from 0
+  Index backend = kNone;            // hand_off: the target
+  TenthsOfMs until = 0;             // hand_off: when to stop waiting for the answer
+  TenthsOfMs retry_in = 0;          // reject: delay for the client's next try; 0: none given
+  TenthsOfMs begin_by = INT64_MAX;  // hand_off: latest time to send; later, the hand-off must not be sent
 };
 
-struct Invocation;  // as the facade holds it
+struct Invocation;  // internal state of one invocation, defined in balancer.cpp
 using InvocationHandle = std::shared_ptr<Invocation>;
 
+// The decisions of one node for all of its invocations.
 class Balancer {
  public:
   Balancer(const Settings& settings, const Clock& clock);
 
-  InvocationHandle accept(const IncomingInvocation& demand);
-  Instruction next_instruction(const InvocationHandle& ticket);  // blocks until there is a next step
-  // Who picks is busy with a hand-off itself: until it picks again, each further hand-off and recall goes to
-  // `urgent`, which must neither block nor call this. False from it: that hand-off can't be sent.
+  InvocationHandle accept(const IncomingInvocation& incoming);
+  // Blocks until there is an instruction. A call after a final instruction would block forever.
+  Instruction next_instruction(const InvocationHandle& invocation);
+
+  // Handles an instruction while the caller of next_instruction() runs a hand-off. Must neither block nor
+  // call the Balancer. Returns false if a hand-off can't be sent; such a hand-off is not reported with
+  // report().
   using UrgentHandler = std::function<bool(const Instruction&)>;
-  void set_urgent_handler(const InvocationHandle& ticket, UrgentHandler urgent_handler);
-  // How a hand-off ended: once for each that pick() gave out, also when it was recalled meanwhile.
+  // Passes each further hand-off and cancellation of `invocation` to `urgent_handler` until the next call of
+  // next_instruction(). Instructions that are already queued are passed at once.
+  void set_urgent_handler(const InvocationHandle& invocation, UrgentHandler urgent_handler);
+
+  // Further facts on a hand-off that has ended.
   struct HandOffDetails {
-    TenthsOfMs elapsed = -1;    // since it was sent whole; -1: since it was handed out
-    bool is_body_consumed = false;  // of the invocation's body nothing is left that could be sent again
+    TenthsOfMs elapsed =
+        -1;  // time since the request was sent whole; -1: unknown, measured from the decision
+    bool is_body_consumed = false;  // the request body can't be sent again
   };
-  void report(const InvocationHandle& ticket, int number, Ending ending, const HandOffDetails& sent);
-  void report(const InvocationHandle& ticket, int number, Ending ending) { report(ticket, number, ending, HandOffDetails{}); }
-  void answer_progressed(const InvocationHandle& ticket, int number);  // a piece of a long answer, which is kept
-  void client_gone(const InvocationHandle& ticket);
-  void answer_all_by(TenthsOfMs when);  // also what is taken from now on
-  bool is_answered(const InvocationHandle& ticket);  // its last step stands, and nothing goes out any more
-
-  // Holds for what is taken from now on.
+  // Reports how a hand-off ended. Must be called once for each hand-off that was received, also after a
+  // cancellation.
+  void report(const InvocationHandle& invocation, int number, Ending ending, const HandOffDetails& details);
+  void report(const InvocationHandle& invocation, int number, Ending ending) {
+    report(invocation, number, ending, HandOffDetails{});
+  }
+  // Another piece of a long answer, which is still buffered, arrived for hand-off `number`.
+  void answer_progressed(const InvocationHandle& invocation, int number);
+  // The client has disconnected. Has no effect after the final answer.
+  void client_gone(const InvocationHandle& invocation);
+  // Ends every invocation by `when`, also those that are accepted later.
+  void answer_all_by(TenthsOfMs when);
+  // Whether the final answer is decided. From then on, no hand-off is sent for the invocation.
+  bool is_answered(const InvocationHandle& invocation);
+
+  // Applies settings to invocations that are accepted from now on. `inherits_from`: see NewSettings.
   void apply_settings(std::shared_ptr<const Settings> settings, std::vector<Index> inherits_from);
   struct BackendCounts {
-    std::size_t listed = 0, avoided = 0;  // backends, and those of them that the decisions avoid now
+    // The listed backends, and those of them that are stopping or are outliers now.
+    std::size_t listed = 0, avoided = 0;
   };
   BackendCounts backend_counts();
 
-  void tick();       // does what has come due
-  void run_ticks();  // ticks whenever something comes due, until stop()
+  void tick();       // runs the timer if it is due
+  void run_ticks();  // runs the timer each time that it is due; returns after stop()
 
+  // Applies a list of backends, or the failure to get one, from discovery.
   void update_backends(ListForm form, std::vector<ListEntry> entries);
-  void request_discovery();    // as if the decisions had asked for it
-  bool wait_for_discovery_request();  // blocks until the list is to be watched (again); false: stop() was called
-  void stop();
-  // The backends whose numbers are free since the last call: their ids are gone and nothing refers to them.
+  void request_discovery();           // requests a watch of discovery, as the decision module does
+  bool wait_for_discovery_request();  // blocks until a watch is requested; false: stop() was called
+  void stop();                        // ends run_ticks() and wait_for_discovery_request()
+  // Returns and clears the indices of backends that were released since the last call: discovery no longer
+  // lists these backends and no invocation refers to them, so the indices can be reused.
   std::vector<Index> take_released();
 
  private:
-  void handle_event(std::unique_lock<std::mutex>& held, const Event& event);
+  void handle_event(std::unique_lock<std::mutex>& lock, const Event& event);
   void report_unsent();
   void execute_all(const std::vector<Action>& actions);
   void execute(const Action& action);
-  void finalize(Invocation& v);
-  void add_instruction(Invocation& v, const Instruction& step);
-  bool give_to_urgent_handler(Invocation& v, const Instruction& step);
+  void finalize(Invocation& invocation);
+  void add_instruction(Invocation& invocation, const Instruction& instruction);
+  bool give_to_urgent_handler(Invocation& invocation, const Instruction& instruction);
 
   const Clock& clock_;
-  std::mutex lock_;
+  std::mutex lock_;  // guards all members below and every Invocation
   std::condition_variable timer_changed_, discovery_requested_;
   Decider decider_;
-  std::vector<InvocationHandle> invocations_;  // by index
+  std::vector<InvocationHandle> invocations_;  // by invocation index; empty: the index is free
   std::vector<Index> free_indices_, released_backends_;
-  std::deque<HandOffEnded> unsent_hand_offs_;  // taken back before anybody had picked them up
-  TenthsOfMs timer_due_ = INT64_MAX;  // the one timer that the decisions have set; its owner believes in it until it is told
+  // Hand-offs that were withdrawn before they were sent, still to be reported to the decider.
+  std::deque<HandOffEnded> unsent_hand_offs_;
+  TenthsOfMs timer_due_ = INT64_MAX;  // the only timer; the decider counts on it until it gets TimerDue
   bool is_discovery_requested_ = false, is_stopped_ = false;
   BackendCounts backend_counts_;
 };
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,4 +1,4 @@
-// The time that a node decides by: steady, in whole tenths of a millisecond.
+// The clock of a node: steady, in whole tenths of a millisecond. Tests replace it.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,8 @@
  public:
   virtual ~Clock() = default;
   virtual TenthsOfMs now() const = 0;
-  virtual std::chrono::steady_clock::time_point at(TenthsOfMs when) const = 0;  // for waits
+  // The time point of the steady clock that corresponds to `when`, for timed waits.
+  virtual std::chrono::steady_clock::time_point at(TenthsOfMs when) const = 0;
 };
 
 }  // namespace troutstage::core
--- a/src/core/lanes.h
+++ b/src/core/lanes.h
@@ -1,5 +1,7 @@
-// The small numbers of workloads, while settings change under way: one whose terms change goes on under
-// another number, and a number is given again only once nothing refers to what it stood for.
+// Assigns dense indices to workloads across changes of the settings.
+//
+// A workload whose settings change gets another index, so invocations in progress keep the old settings under
+// the old index. An index is reused only after nothing refers to it.
 #pragma once
 
 #include <memory>
@@ -10,18 +12,25 @@
 
 namespace troutstage::core {
 
+// Not thread-safe, except that a workload_reference may be copied and released in any thread.
 class WorkloadRegistry {
  public:
+  // The index of a configured workload.
   struct WorkloadHandle {
     Index workload = 0;
-    std::shared_ptr<const void> workload_reference;  // the number stands for this workload for as long as anybody has it
+    // The index stands for the same workload until all copies of this reference are released.
+    std::shared_ptr<const void> workload_reference;
   };
+  // The result of apply_settings().
   struct Assignment {
-    std::vector<Workload> workloads;  // by number, also those that only invocations under way still have
-    std::vector<Index> inherits_from;          // by number: whose past it goes on from; kNone: it has none
-    std::vector<WorkloadHandle> workload_handles;        // in the order of what was given
+    // By index. Includes workloads that only invocations in progress still use.
+    std::vector<Workload> workloads;
+    // By index: the index whose learned state the workload inherits; kNone: no state is inherited.
+    std::vector<Index> inherits_from;
+    // In the order of the arguments of apply_settings().
+    std::vector<WorkloadHandle> workload_handles;
   };
-  // What is offered from now on.
+  // Replaces the configured workloads. names[i] is the name of workloads[i].
   Assignment apply_settings(const std::vector<std::string>& names, const std::vector<Workload>& workloads);
 
  private:
@@ -29,9 +38,9 @@
     std::string name;
     Workload settings;
     std::shared_ptr<const int> workload_reference;
-    bool is_configured = false;
+    bool is_configured = false;  // part of the current settings
   };
-  std::vector<Entry> entries_;
+  std::vector<Entry> entries_;  // by index
 };
 
 }  // namespace troutstage::core
--- a/src/core/numbers.h
+++ b/src/core/numbers.h
@@ -1,4 +1,5 @@
-// Small numbers for ids: a new id gets one that is free, so they don't grow with all ids ever seen.
+// Assigns dense indices to string ids. Indices of released ids are reused, so the indices don't grow with the
+// number of ids ever seen.
 #pragma once
 
 #include <optional>
@@ -12,21 +13,22 @@
 
 namespace troutstage {
 
+// Not thread-safe. An id must not be empty.
 class IndexPool {
  public:
-  // The number of an id, and whether it was given just now.
+  // Returns the index of an id, and whether this call assigned the index.
   std::pair<Index, bool> acquire(std::string_view id) {
-    const auto [at, is_new] = indices_.try_emplace(std::string(id), kNone);
-    if (!is_new) return {at->second, false};
+    const auto [entry, is_new] = indices_.try_emplace(std::string(id), kNone);
+    if (!is_new) return {entry->second, false};
     if (free_indices_.empty()) {
-      at->second = static_cast<Index>(ids_.size());
+      entry->second = static_cast<Index>(ids_.size());
       ids_.emplace_back(id);
     } else {
-      at->second = free_indices_.back();
+      entry->second = free_indices_.back();
       free_indices_.pop_back();
-      ids_[at->second] = id;
+      ids_[entry->second] = id;
     }
-    return {at->second, true};
+    return {entry->second, true};
   }
   std::optional<Index> find(std::string_view id) const {
     const auto found = indices_.find(std::string(id));
@@ -34,16 +36,17 @@
   }
   bool is_in_use(Index n) const { return n < ids_.size() && !ids_[n].empty(); }
   const std::string& id(Index n) const { return ids_[n]; }
-  void release(Index n) {  // one in use
+  // Makes an index free that is in use.
+  void release(Index n) {
     indices_.erase(ids_[n]);
     ids_[n].clear();
     free_indices_.push_back(n);
   }
-  std::size_t size() const { return ids_.size(); }  // the numbers given are below it
+  std::size_t size() const { return ids_.size(); }  // all indices ever assigned are smaller
 
  private:
   std::unordered_map<std::string, Index> indices_;
-  std::vector<std::string> ids_;  // by number; empty: free
+  std::vector<std::string> ids_;  // by index; empty: the index is free
   std::vector<Index> free_indices_;
 };
 
--- a/src/core/stage.h
+++ b/src/core/stage.h
@@ -1,4 +1,4 @@
-// Where a node stands in its life: one state with one owner. Whoever asks for it or changes it comes here.
+// The lifecycle of a node: starting, ready, draining, stopping.
 #pragma once
 
 #include <mutex>
@@ -6,30 +6,42 @@
 
 namespace troutstage::core {
 
+// The only record of a node's lifecycle. Thread-safe.
 class NodeState {
  public:
-  enum class Phase { starting, is_ready, draining, stopping };
+  enum class Phase {
+    starting,  // can't serve yet
+    ready,     // serves requests
+    draining,  // finishes its requests and should get no new ones, until activate()
+    stopping   // ends; no way back
+  };
 
   Phase phase() const {
-    std::lock_guard held(lock_);
-    return is_stopping_ ? Phase::stopping : is_drained_ ? Phase::draining : has_started_ ? Phase::is_ready : Phase::starting;
+    std::lock_guard lock(lock_);
+    return is_stopping_   ? Phase::stopping
+           : is_drained_  ? Phase::draining
+           : has_started_ ? Phase::ready
+                          : Phase::starting;
   }
-  bool is_ready() const { return phase() == Phase::is_ready; }
-  void mark_started() {  // it can serve
-    std::lock_guard held(lock_);
+  bool is_ready() const { return phase() == Phase::ready; }
+  // The node can serve requests now.
+  void mark_started() {
+    std::lock_guard lock(lock_);
     has_started_ = true;
   }
-  // Both can be said any number of times. False: it is stopping, and there is no way back.
+  // drain() and activate() are idempotent, and allowed before mark_started(). They return false and have no
+  // effect after stop().
   bool drain() { return set_drained(true); }
   bool activate() { return set_drained(false); }
-  bool stop() {  // false: it was told before
-    std::lock_guard held(lock_);
+  // Enters the final phase. False: stop() was called before.
+  bool stop() {
+    std::lock_guard lock(lock_);
     return !std::exchange(is_stopping_, true);
   }
 
  private:
   bool set_drained(bool drained) {
-    std::lock_guard held(lock_);
+    std::lock_guard lock(lock_);
     if (!is_stopping_) is_drained_ = drained;
     return !is_stopping_;
   }
--- a/src/core/stop_plan.cpp
+++ b/src/core/stop_plan.cpp
@@ -5,14 +5,14 @@
 namespace troutstage::core {
 namespace {
 
-// New connections go on coming for up to 0.4 s after the order.
+// New connections still arrive for up to 0.4 s after the stop order.
 constexpr std::chrono::milliseconds kAcceptTime{550};
 
 }  // namespace
 
 ShutdownPlan plan_shutdown(std::chrono::milliseconds longest) {
-  const auto kill = std::min(longest, kMaxTimeLimit) + kKillAfterTimeLimit;
-  const auto answer_within = kill - 2 * kMaxStall - kFinalAnswersTime;
+  const auto kill_after = std::min(longest, kMaxTimeLimit) + kKillAfterTimeLimit;
+  const auto answer_within = kill_after - 2 * kMaxStall - kFinalAnswersTime;
   const auto keep_connections_for = answer_within * 3 / 4;
   return {std::min(kAcceptTime, keep_connections_for), keep_connections_for, answer_within};
 }
--- a/src/core/stop_plan.h
+++ b/src/core/stop_plan.h
@@ -1,27 +1,31 @@
-// When a node that was told to end lets go of what. Pure arithmetic: the terms of the platform in, spans from
-// the order on out.
+// Timing of a graceful shutdown, computed from the platform's limits. Reads no clock.
 #pragma once
 
 #include <chrono>
 
 namespace troutstage::core {
 
+// All durations count from the stop order (SIGTERM).
 struct ShutdownPlan {
-  std::chrono::milliseconds accept_for{0};   // connections still come for so long
-  std::chrono::milliseconds keep_connections_for{0};     // clients' connections stay in use, unless all have gone before
-  std::chrono::milliseconds answer_within{-1};  // what comes after the order is answered by then; -1: in its time
+  // New connections are accepted for this long.
+  std::chrono::milliseconds accept_for{0};
+  // Client connections stay in use for this long, unless all clients have disconnected before.
+  std::chrono::milliseconds keep_connections_for{0};
+  // All invocations, including those accepted after the order, are answered within this time. -1: each
+  // invocation has its own time limit only.
+  std::chrono::milliseconds answer_within{-1};
 };
 
-// SIGKILL comes so long after the longest time limit at the earliest, counted from SIGTERM; of that limit
-// this much counts.
+// The platform sends SIGKILL no earlier than this long after the longest time limit, counted from SIGTERM. Of
+// a longer time limit, only kMaxTimeLimit counts.
 inline constexpr std::chrono::milliseconds kKillAfterTimeLimit{700}, kMaxTimeLimit{3000};
-// A process may stand still for so long at any point. That may fall on the order, which is then noticed so
-// much later, and again on the last answers.
+// The process may be stalled for this long at any point. A stall at the stop order delays its handling, and
+// another stall can delay the last answers.
 inline constexpr std::chrono::milliseconds kMaxStall{150};
-// In which a node that has a part of a processor alone writes the answers that are due together.
+// Time in which a node with a fraction of one processor writes the answers that are due together.
 inline constexpr std::chrono::milliseconds kFinalAnswersTime{100};
 
-// `longest` is the longest time limit that the settings give a client.
+// Plans a shutdown that completes before SIGKILL. `longest`: the longest time limit of a workload.
 ShutdownPlan plan_shutdown(std::chrono::milliseconds longest);
 
 }  // namespace troutstage::core
--- a/src/core/watch_pace.h
+++ b/src/core/watch_pace.h
@@ -1,11 +1,15 @@
-// When discovery is called, what it is asked to wait, and when silence is taken for a broken watch.
+// Schedules the long polls of the discovery service: when the next poll starts, how long discovery may hold
+// it, and when a missing answer means that the watch is broken. A watch is a sequence of polls, each for the
+// changes since the list before it.
 //
-// How to call it: give after() each thing that became of a call, in order, and make the next call as it says. It does
-// no I/O and reads no clock; times are tenths of a millisecond of one steady clock.
+// Usage: pass the result of each poll to after(), in order, and make the next poll as its return value says.
+// The class does no I/O, reads no clock and is not thread-safe. Times are tenths of a millisecond of one
+// steady clock.
 //
-// What it has to keep: a watch that falls silent looks like one with no news, and what it misses counts as told 6 s
-// after that (2 s after the wait of its last call, if that is later) whether or not it arrived; the same holds 4 s after
-// an order to watch another place. Docs: docs/design.md, "Discovery".
+// Requirements: a watch that falls silent looks like a watch without news. By the platform's rules, a node
+// counts as informed of a change that the watch misses 6 s after the silence began (2 s after the wait of the
+// last poll, if that is later), whether or not the change arrived. The same holds 4 s after an order to use
+// another discovery address. Docs: docs/design.md, "Discovery".
 #pragma once
 
 #include <algorithm>
@@ -17,48 +21,60 @@
 
 namespace troutstage::core {
 
+// The schedule of one watch and its successors.
 class DiscoverySchedule {
  public:
+  // How a poll ended.
   enum class PollResult {
-    answered,     // with a list, perhaps of no changes
-    turned_away,  // with anything else
-    silent,       // not at all in the time that it was given
-    lost,         // its connection did not come up, or broke; or its answer can't be read
-    address_changed,        // it was ended from here: the next one goes to another place
+    answered,         // discovery sent a list, perhaps without changes
+    turned_away,      // discovery answered with anything but a list
+    silent,           // no answer in time
+    lost,             // the connection failed or broke, or the answer is malformed
+    address_changed,  // this node cancelled the poll: the next poll goes to another discovery address
   };
+  // When and how to make the next poll.
   struct NextPoll {
-    TenthsOfMs pause = 0;     // before that call
-    TenthsOfMs wait = 0;      // what it asks discovery to wait for news
-    TenthsOfMs answer_timeout = 0;  // for its answer, after that wait
+    TenthsOfMs pause = 0;           // delay before the poll
+    TenthsOfMs wait = 0;            // how long discovery may hold the poll while there is no news
+    TenthsOfMs answer_timeout = 0;  // how long to wait for the answer after `wait`
   };
 
+  // `seed`: for the random parts of delays.
   explicit DiscoverySchedule(std::uint64_t seed) : random_(seed) {}
   NextPoll first() { return {0, wait(), kFirstAnswerTimeout}; }
-  NextPoll after(TenthsOfMs now, PollResult was);
-  bool is_established() const { return is_established_; }  // the last call was answered
+  NextPoll after(TenthsOfMs now, PollResult result);
+  // Whether the last poll was answered, so the next poll continues the watch.
+  bool is_established() const { return is_established_; }
 
  private:
-  // A call on a watch that goes on is cheap for discovery, one that begins a watch is not. Short waits find a silent
-  // watch early, which leaves a whole fleet time to begin anew where discovery takes only so many at once; drawn, since
-  // every node's watch begins or is answered with news at the same moments.
+  // A poll that continues a watch is cheap for discovery; a poll that begins a watch is not. With short waits
+  // a silent watch is noticed early, so a whole fleet has time to begin new watches at a discovery service
+  // that accepts only a limited number at once. The wait is randomized because the watches of all nodes
+  // begin, and are answered with news, at the same moments.
   static constexpr TenthsOfMs kPollWait = 10000;
-  // Its answer comes at the end of that wait. The first call of a watch may have to stand in line before that.
+  // The answer is due at the end of the wait. Before that, discovery may queue the first poll
+  // of a watch.
   static constexpr TenthsOfMs kAnswerTimeout = 5000, kFirstAnswerTimeout = 25000;
-  static constexpr TenthsOfMs kHurryFor = 60000;  // after a silence or a move, what is missed counts as told within this
-  static constexpr TenthsOfMs kHurriedRetryDelay = 2000;    // meanwhile between calls, about
-  // Else between calls that fail, about: at first and then. A change counts as told 6 s after discovery could be reached, so
-  // several calls have to fit in there.
+  // Within this time after a silent poll or a change of address, the node counts as informed of what the
+  // watch missed, so retries are faster.
+  static constexpr TenthsOfMs kHurryFor = 60000;
+  // Mean delay before a retry within that time.
+  static constexpr TenthsOfMs kHurriedRetryDelay = 2000;
+  // Mean delay before a retry at other times: after the first failure, and after further failures. A node
+  // counts as informed of a change 6 s after discovery is reachable again, so several polls have to fit in.
   static constexpr TenthsOfMs kFirstRetryDelay = 5000, kRetryDelay = 10000;
 
   TenthsOfMs wait() { return randomized(kPollWait, 0.25); }
-  TenthsOfMs randomized(TenthsOfMs about, double by) {
-    return static_cast<TenthsOfMs>(static_cast<double>(about) * (1 - by + 2 * by * std::generate_canonical<double, 32>(random_)));
+  // A random value of [mean * (1 - spread), mean * (1 + spread)).
+  TenthsOfMs randomized(TenthsOfMs mean, double spread) {
+    return static_cast<TenthsOfMs>(static_cast<double>(mean) *
+                                   (1 - spread + 2 * spread * std::generate_canonical<double, 32>(random_)));
   }
 
   std::knuth_b random_;
   bool is_established_ = false;
-  bool has_failed_ = false;  // the last call
-  TenthsOfMs answer_timeout_ = kAnswerTimeout;  // of calls on a watch that goes on
+  bool has_failed_ = false;                     // the last poll was turned away or lost
+  TenthsOfMs answer_timeout_ = kAnswerTimeout;  // for polls that continue a watch
   TenthsOfMs hurry_until_ = INT64_MIN;
 };
 
