--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -1,5 +1,5 @@
-// What connections may take: so many descriptors in all, and some of them for each side; and so many bytes of
-// bodies. Another process of this node may have taken a part of it.
+// Limits on what connections may use: descriptors, in all and for each side, and bytes of bodies. A
+// predecessor or successor process of this node may use a part of the same budgets.
 #pragma once
 
 #include <array>
@@ -10,84 +10,98 @@
 
 namespace troutstage::net {
 
+// The kind of a connection: from a client to this node, or from this node to a backend.
 enum class Side { clients, backends };
 
-// What one process has taken. It may lie in memory that both map.
+// What one process uses. Lies in memory that both processes map, where there are two.
 struct Usage {
   std::atomic<std::int64_t> side[2]{}, bytes{0};
 };
 
-// What this process has taken, and the other where there is one. Each counts its own first and looks at the
-// other's then, so that of two that take the last place at the same moment at most one gets it.
+// The usage of this process, and of the other process of the node where there is one. Each process first adds
+// to its own count and then reads the other's, so that of two processes that take the last unit at the same
+// moment at most one gets it.
 class SharedUsage {
  public:
   SharedUsage() : mine_(&own_) {}
   SharedUsage(Usage* mine, const Usage* other) : mine_(mine), other_(other) {}
+  // The counts of this process, which its budgets change.
   Usage& mine() { return *mine_; }
-  std::int64_t others(Side side) const { return paired_ ? other_->side[static_cast<int>(side)].load() : 0; }
-  std::int64_t others_bytes() const { return paired_ ? other_->bytes.load() : 0; }
-  // A dead process's counts stand for nothing.
-  void set_paired(bool paired) { paired_ = paired && other_ != nullptr; }
+  // The counts of the other process; 0 where it does not run.
+  std::int64_t others(Side side) const {
+    return is_paired_ ? other_->side[static_cast<int>(side)].load() : 0;
+  }
+  std::int64_t others_bytes() const { return is_paired_ ? other_->bytes.load() : 0; }
+  // Sets whether the other process runs. The counts of a process that has ended are ignored.
+  void set_paired(bool is_paired) { is_paired_ = is_paired && other_ != nullptr; }
 
  private:
   Usage own_;
   Usage* mine_;
   const Usage* other_ = nullptr;
-  std::atomic<bool> paired_{false};
+  std::atomic<bool> is_paired_{false};
 };
 
+// The budget for descriptors of connections. May be used from any thread, and by both processes at once.
 class ConnectionBudget {
  public:
   enum class TakeResult { granted, side_full, all_full };
-  ConnectionBudget(std::size_t all, std::size_t most_clients, std::size_t most_backends, SharedUsage& shared_usage)
-      : all_(static_cast<std::int64_t>(all)), most_{static_cast<std::int64_t>(most_clients),
-                                                    static_cast<std::int64_t>(most_backends)},
+  ConnectionBudget(std::size_t all, std::size_t max_clients, std::size_t max_backends,
+                   SharedUsage& shared_usage)
+      : all_(static_cast<std::int64_t>(all)), max_by_side_{static_cast<std::int64_t>(max_clients),
+                                                           static_cast<std::int64_t>(max_backends)},
         shared_usage_(shared_usage) {}
+  // Takes one descriptor for this side, or says which limit is reached. give_back() has to follow `granted`.
   TakeResult take(Side side) {
-    std::lock_guard held(lock_);
+    std::lock_guard lock(lock_);
     const auto s = static_cast<std::size_t>(side);
     auto& mine = shared_usage_.mine().side;
     ++mine[s];
-    // The sum is kept for both processes. How it is shared between the sides each keeps for itself: counted for
-    // both, the clients of one that ends had the other turn its own away.
+    // The limit on the sum counts both processes. The limits of the sides count each process alone: when they
+    // counted both, the clients of a process that was ending made the other process reject its own.
     const std::int64_t sum =
         mine[0] + mine[1] + shared_usage_.others(Side::clients) + shared_usage_.others(Side::backends);
-    const TakeResult took = mine[s] > most_[s] ? TakeResult::side_full : sum > all_ ? TakeResult::all_full : TakeResult::granted;
-    if (took != TakeResult::granted) --mine[s];
-    return took;
+    const TakeResult result = mine[s] > max_by_side_[s] ? TakeResult::side_full
+                              : sum > all_              ? TakeResult::all_full
+                                                        : TakeResult::granted;
+    if (result != TakeResult::granted) --mine[s];
+    return result;
   }
   void give_back(Side side) { --shared_usage_.mine().side[static_cast<std::size_t>(side)]; }
 
  private:
   std::mutex lock_;
-  const std::int64_t all_, most_[2];
+  const std::int64_t all_, max_by_side_[2];
   SharedUsage& shared_usage_;
 };
 
-// Few bodies are large: counting each as the largest would leave a small node few clients.
+// The budget for bytes of buffered bodies. Actual sizes are counted: few bodies are large, and counting each
+// as the largest possible would leave a small node few clients.
 class BodyBytesBudget {
  public:
-  BodyBytesBudget(std::size_t all, SharedUsage& shared_usage) : all_(static_cast<std::int64_t>(all)), shared_usage_(shared_usage) {}
-  // What one request holds of them, as long as it lives.
+  BodyBytesBudget(std::size_t all, SharedUsage& shared_usage)
+      : all_(static_cast<std::int64_t>(all)), shared_usage_(shared_usage) {}
+  // The bytes that one request uses, given back when the object is destroyed.
   class Reservation {
    public:
     explicit Reservation(BodyBytesBudget& bytes) : bytes_(bytes) {}
-    ~Reservation() { bytes_.shared_usage_.mine().bytes -= held_; }
+    ~Reservation() { bytes_.shared_usage_.mine().bytes -= reserved_; }
     Reservation(const Reservation&) = delete;
     Reservation& operator=(const Reservation&) = delete;
-    bool take(std::size_t n) { return take_of(n, bytes_.all_); }
-    // The same for what need not be held: half of all stays for what has to be.
-    bool take_optional(std::size_t n) { return take_of(n, bytes_.all_ / 2); }
+    // False: the budget has fewer than `n` bytes left, and nothing was taken.
+    bool take(std::size_t n) { return take_within(n, bytes_.all_); }
+    // Like take(), for bytes that could be done without: leaves half of the budget for bytes that are needed.
+    bool take_optional(std::size_t n) { return take_within(n, bytes_.all_ / 2); }
 
    private:
-    bool take_of(std::size_t n, std::int64_t all) {
+    bool take_within(std::size_t n, std::int64_t all) {
       const auto more = static_cast<std::int64_t>(n);
       if (!bytes_.take(more, all)) return false;
-      held_ += more;
+      reserved_ += more;
       return true;
     }
     BodyBytesBudget& bytes_;
-    std::int64_t held_ = 0;
+    std::int64_t reserved_ = 0;
   };
 
  private:
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -13,27 +13,39 @@
 namespace troutstage::net {
 namespace {
 
-// From its first byte to its last; the first one from the connecting on, which is when a client's patience
-// with an answer to what can't be read begins.
+// Limits for the whole of a request's head and of its body. For the first request of a connection they count
+// from the moment the connection was accepted: from then on a client waits for the answer to a request that
+// can't be read.
 constexpr std::chrono::milliseconds kMaxHeadTime{2500}, kMaxBodyTime{2700};
-constexpr std::chrono::milliseconds kBodyPieceTimeout{2000};  // of a body, whatever came before
-constexpr std::chrono::seconds kWriteTimeout{5};        // takes a piece of an answer
-constexpr std::chrono::milliseconds kLatePauseLimit{1000};  // of an answer that goes on after its client's limit
-constexpr std::chrono::milliseconds kStopCheckInterval{50};          // how often one that waits for more looks for a stop
-constexpr std::size_t kMaxWriteBytes = 64 * 1024;                  // of an answer, within kSlowestReader
-constexpr std::chrono::milliseconds kNextRequestWait{2};  // a client that is answered and asks at once does it sooner
+// Time limit for each piece of a body.
+constexpr std::chrono::milliseconds kBodyPieceTimeout{2000};
+// Time limit for a client to take kMaxWriteBytes of an answer.
+constexpr std::chrono::seconds kWriteTimeout{5};
+// Longest pause of the backend in a forwarded answer that continues after the client's time limit.
+constexpr std::chrono::milliseconds kLatePauseLimit{1000};
+// How often a thread that waits for more of an answer checks whether the node shuts down.
+constexpr std::chrono::milliseconds kStopCheckInterval{50};
+// Bytes of an answer that one write may send; kWriteTimeout applies to each write.
+constexpr std::size_t kMaxWriteBytes = 64 * 1024;
+// A client that sends its next request right after an answer does so within this time.
+constexpr std::chrono::milliseconds kNextRequestWait{2};
+// Bytes that a client may send after its last answer before the connection is closed.
 constexpr std::size_t kMaxDiscardedBytes = 64 << 20;
 constexpr TenthsOfMs kTenthsPerMs = 10;
-constexpr std::chrono::milliseconds kLateReadThreshold{20};  // counted and logged from here on
-constexpr std::chrono::milliseconds kNearLimit{100};  // a client that leaves so long before its limit, or later, is logged
+// A request that is read this long after its last byte arrived, or later, is counted and logged.
+constexpr std::chrono::milliseconds kLateReadThreshold{20};
+// A client that disconnects this long before its time limit, or later, is counted and logged.
+constexpr std::chrono::milliseconds kNearLimit{100};
 constexpr std::string_view kTextPlain = "text/plain";
-constexpr std::array<std::string_view, 6> kInstructionNames = {"hand_off", "recall", "succeeded", "rejected", "given_up", "gone"};  // of core::Next
+// Log names of core::InstructionKind.
+constexpr std::array<std::string_view, 6> kInstructionNames = {"hand_off", "recall",   "succeeded",
+                                                               "rejected", "given_up", "gone"};
 
 std::int64_t milliseconds_between(TimePoint from, TimePoint to) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(to - from).count();
 }
 
-// Counts an invocation as open for as long as it lives.
+// Counts an invocation as open for the lifetime of the object.
 class OpenInvocationCount {
  public:
   explicit OpenInvocationCount(Counters::Count& open) : open_(open) { ++open_; }
@@ -50,116 +62,150 @@
 struct ClientConnection::InvocationContext {
   explicit InvocationContext(Node& node) : bytes(node.bytes_), request_config(node.request_config()) {}
   BodyBytesBudget::Reservation bytes;
-  const std::shared_ptr<const RequestConfig> request_config;  // those that it came under, to its end
-  Offer offer;
+  // The configuration that was valid when the request arrived; a reload does not change it for this
+  // invocation.
+  const std::shared_ptr<const RequestConfig> request_config;
+  WorkloadEntry workload_entry;
   Request request;
-  StreamedBody flow;           // where its body is not whole
-  bool has_streaming_body = false;  // the same
-  std::optional<OpenTransactions::ScopedTransaction> open;
-  TimePoint arrived;                    // its last byte, as far as is known: its client's time runs from there
-  TimePoint no_bytes_until, seen, read;  // the last look that found nothing of it, the first that found it, its reading
-  bool by_system = false;            // what `arrived` is taken from; else from the looks at its connection
-  std::optional<std::chrono::milliseconds> reported_ago;  // what the system said then: how long ago the last bytes came
-  TimePoint client_limit;                     // until when its client waits for its answer
-  core::InvocationHandle ticket;
-  int client_socket = -1;  // open until the answer is final; -1: its end can't be told from one made here
-  // By number. The client's thread changes it, and while that is busy whoever has the balancer's lock.
+  // The part of the request's body that is streamed to the backend; used if has_streaming_body.
+  StreamedBody streamed_body;
+  // The body is longer than what is buffered, so the rest of it is streamed to the backend.
+  bool has_streaming_body = false;
+  std::optional<OpenTransactions::ScopedTransaction> transaction;
+  // When the last byte of the request arrived, as far as is known. The client's time limit counts from here.
+  TimePoint arrived;
+  // The end of the last check of the socket that found no byte of the request, the end of the first check
+  // that found bytes, and the moment at which the request had been read.
+  TimePoint no_bytes_until, seen_at, read_at;
+  // `arrived` is based on the time that the system reported; otherwise on the checks of the socket alone.
+  bool is_by_system_time = false;
+  // How long before the reading the last bytes arrived, as the system reported.
+  std::optional<std::chrono::milliseconds> reported_ago;
+  // The client waits for its answer until then.
+  TimePoint client_deadline;
+  core::InvocationHandle handle;
+  // The client's socket, open until the answer is final. -1: a disconnect of the client can't be told from a
+  // shutdown of the reading side by this node.
+  int client_socket = -1;
+  // Indexed by the number of the hand-off. Changed by the thread that serves the client; while that thread
+  // runs a hand-off itself, by the thread that holds the balancer's lock.
   std::deque<std::shared_ptr<Exchange>> exchanges;
 };
 
-ClientConnection::ClientConnection(Node& node, Fd fd, bool has_place, const core::ArrivalEstimate& arrival)
-    : node_(node),
-      id_(node.connections_.fetch_add(1) + 1),
-      fd_(std::move(fd)),
-      arrival_(arrival),
-      reader_(fd_.get(), arrival_),
-      is_within_budget_(has_place) {
+ClientConnection::ClientConnection(Node& node, Fd fd, bool is_within_budget,
+                                   const core::ArrivalEstimate& arrival)
+    : node_(node), id_(node.connections_.fetch_add(1) + 1), fd_(std::move(fd)), arrival_(arrival),
+      reader_(fd_.get(), arrival_), is_within_budget_(is_within_budget) {
   node_.connection_opened(is_within_budget_);
 }
-// Nobody may know the descriptor any more when it is closed: its number is soon another connection's.
+// No other object may still use the descriptor when it is closed: the system soon gives the same number to
+// another connection.
 ClientConnection::~ClientConnection() {
   ++node_.counters_.closed[static_cast<std::size_t>(close_reason_)];
   if (log::wanted(log::Level::debug))
-    log::event("connection_closed", {{"connection", id_}, {"why", kCloseReasonNames[static_cast<std::size_t>(close_reason_)]}, {"answers", std::uint64_t{answered_count_}},
-                                     {"open_ms", std::int64_t{std::chrono::duration_cast<std::chrono::milliseconds>(TimePoint::clock::now() - connected_).count()}}},
+    log::event("connection_closed",
+               {{"connection", id_},
+                {"why", kCloseReasonNames[static_cast<std::size_t>(close_reason_)]},
+                {"answers", std::uint64_t{answered_count_}},
+                {"open_ms", std::int64_t{std::chrono::duration_cast<std::chrono::milliseconds>(
+                                             TimePoint::clock::now() - connected_)
+                                             .count()}}},
                log::Level::debug);
   fd_.reset();
   if (answered_count_ >= 2) --node_.reused_connections_;
   node_.connection_closed(is_within_budget_);
 }
 
-// One that was rejected and asks again at once is served on by the same thread: each way through the lobby
-// costs more than a rejection, and thousands of them a second were all that a node could do.
+// A client that was rejected and sends its next request at once is served by the same thread: a return
+// through IdleConnections costs more than a rejection, and thousands of such requests a second used up all
+// that a node could do.
 std::optional<IdleConnections::WaitsFor> ClientConnection::serve() {
   for (;;) {
     was_rejected_ = false;
     close_reason_ = CloseReason::by_client;
-    const auto wait = serve_one();
-    const bool stays = wait == IdleConnections::WaitsFor::second_request || wait == IdleConnections::WaitsFor::next_request;
-    if (!stays || !was_rejected_ || wait_readable(fd_.get(), TimePoint::clock::now() + kNextRequestWait) != IoResult::done)
-      return wait;
+    const auto waits_for = serve_request();
+    const bool may_be_reused = waits_for == IdleConnections::WaitsFor::second_request ||
+                               waits_for == IdleConnections::WaitsFor::next_request;
+    if (!may_be_reused || !was_rejected_ ||
+        wait_readable(fd_.get(), TimePoint::clock::now() + kNextRequestWait) != IoResult::done)
+      return waits_for;
     arrival_.found_bytes(TimePoint::clock::now());
   }
 }
 
-std::optional<IdleConnections::WaitsFor> ClientConnection::serve_one() {
-  const auto work = std::make_shared<InvocationContext>(node_);
-  BadRequest bad;
+// Reads and answers one request. Returns what the connection waits for then, or nothing where it is over.
+std::optional<IdleConnections::WaitsFor> ClientConnection::serve_request() {
+  const auto context = std::make_shared<InvocationContext>(node_);
+  BadRequest refusal;
   {
-    Node::ActiveRead reading(node_, fd_.get());
-    const TimePoint begun = std::exchange(is_first_request_, false) ? connected_ : TimePoint::clock::now();
-    auto request = read_request_head(reader_, begun + kMaxHeadTime, bad);
-    if (!request) return refuse(attribute_cut(reading, bad));
-    work->request = std::move(*request);
-    Request& r = work->request;
-    if (!is_node_path(r) && !wanted(*work, bad)) return refuse(bad);
-    // It comes as fast as is promised, or its sender is let go.
-    const auto limit = [&] {
-      const auto earned = std::chrono::milliseconds(static_cast<std::int64_t>(r.body.size()) * 2 / kMinBytesPerMs);
-      return std::min(TimePoint::clock::now() + kBodyPieceTimeout, begun + kMaxBodyTime + earned);
+    Node::ActiveRead active_read(node_, fd_.get());
+    const TimePoint started_at =
+        std::exchange(is_first_request_, false) ? connected_ : TimePoint::clock::now();
+    auto request = read_request_head(reader_, started_at + kMaxHeadTime, refusal);
+    if (!request) return refuse(attribute_cut(active_read, refusal));
+    context->request = std::move(*request);
+    Request& r = context->request;
+    if (!is_node_path(r) && !resolve_workload(*context, refusal)) return refuse(refusal);
+    // Reading stops where the body arrives more slowly than kMinBytesPerMs, the rate that clients have to
+    // keep.
+    const auto deadline = [&] {
+      const auto earned_time =
+          std::chrono::milliseconds(static_cast<std::int64_t>(r.body.size()) * 2 / kMinBytesPerMs);
+      return std::min(TimePoint::clock::now() + kBodyPieceTimeout, started_at + kMaxBodyTime + earned_time);
     };
-    if (!read_body(reader_, r, bad, limit, [&](std::size_t size) { return work->bytes.take(size); })) {
-      if (bad.cause == RequestError::no_room && work->offer.answers) ++work->offer.answers->rejected;
-      return refuse(attribute_cut(reading, bad));
+    if (!read_body(reader_, r, refusal, deadline,
+                   [&](std::size_t size) { return context->bytes.take(size); })) {
+      if (refusal.cause == RequestError::no_room && context->workload_entry.answers)
+        ++context->workload_entry.answers->rejected;
+      return refuse(attribute_cut(active_read, refusal));
     }
-    work->has_streaming_body = !r.remaining_body.whole();
-    note_times(*work);
-    if (work->read - work->arrived >= kLateReadThreshold) note_late_reading(*work);
-    // Where this node has ended the reading itself, to make room, that looks like a client that has gone: a
-    // request that crossed it was then lost.
-    can_detect_disconnect_ = !reading.was_aborted();
-    may_keep_alive_ = can_detect_disconnect_ && is_within_budget_ && !work->has_streaming_body;
+    context->has_streaming_body = !r.remaining_body.whole();
+    note_times(*context);
+    if (context->read_at - context->arrived >= kLateReadThreshold) note_late_reading(*context);
+    // If this node shut down the reading side itself, to free capacity, the socket looks as if the client had
+    // disconnected: a request that arrived at that moment would be lost.
+    can_detect_disconnect_ = !active_read.was_aborted();
+    may_keep_alive_ = can_detect_disconnect_ && is_within_budget_ && !context->has_streaming_body;
   }
-  // A connection carries one request at a time: what is sent ahead of an answer is no usual client's.
-  if (!work->has_streaming_body && reader_.has_buffered_bytes()) return refuse({400, RequestError::ahead});
-  if (answer(work, node_.clock_.to_ticks(work->arrived))) {
+  // A connection carries one request at a time; clients that are supported send nothing before they have the
+  // answer.
+  if (!context->has_streaming_body && reader_.has_buffered_bytes()) return refuse({400, RequestError::ahead});
+  if (answer(context, node_.clock_.to_ticks(context->arrived))) {
     reader_.release_buffer();
     if (++answered_count_ == 2) ++node_.reused_connections_;
-    return answered_count_ >= 2 ? IdleConnections::WaitsFor::next_request : IdleConnections::WaitsFor::second_request;
+    return answered_count_ >= 2 ? IdleConnections::WaitsFor::next_request
+                                : IdleConnections::WaitsFor::second_request;
   }
   if (is_reset_on_close_) return std::nullopt;
   if (close_reason_ == CloseReason::by_client) close_reason_ = CloseReason::last_answer;
-  // What is still unread would turn the closing into a reset, and that could overtake the answer.
+  // Closing a socket that has unread input sends a reset, which could overtake the answer. So only the
+  // sending side is shut down here.
   ::shutdown(fd_.get(), SHUT_WR);
   return IdleConnections::WaitsFor::peer_close;
 }
 
-// What this node has ended the reading of, to make room or since it stops, looks as if its client had ended it. That waits
-// for an answer, and nothing was handed off.
-BadRequest ClientConnection::attribute_cut(const Node::ActiveRead& reading, const BadRequest& bad) {
-  return bad.cause == RequestError::cut && reading.was_aborted() ? BadRequest{503, RequestError::reading_ended} : bad;
+// Where this node shut down the reading side, to free capacity or because it shuts down, the request looks
+// cut short by its client. That client still waits for an answer, and nothing was handed off: it gets a 503
+// instead of none.
+BadRequest ClientConnection::attribute_cut(const Node::ActiveRead& active_read, const BadRequest& refusal) {
+  return refusal.cause == RequestError::cut && active_read.was_aborted()
+             ? BadRequest{503, RequestError::reading_ended}
+             : refusal;
 }
 
-std::optional<IdleConnections::WaitsFor> ClientConnection::refuse(const BadRequest& bad) {
-  if (bad.cause == RequestError::none) return std::nullopt;  // it just closed
-  if (bad.cause == RequestError::no_room) ++node_.counters_.turned_off_full;
-  else ++node_.counters_.bad[static_cast<std::size_t>(bad.cause)];
-  const std::string_view why = kRequestErrorNames[static_cast<std::size_t>(bad.cause)];
+// Counts, logs and answers a request that is not served, and closes the sending side. Returns nothing where
+// the client gets no answer.
+std::optional<IdleConnections::WaitsFor> ClientConnection::refuse(const BadRequest& refusal) {
+  if (refusal.cause == RequestError::none) return std::nullopt;  // the client closed between requests
+  if (refusal.cause == RequestError::no_room) ++node_.counters_.turned_off_full;
+  else ++node_.counters_.bad[static_cast<std::size_t>(refusal.cause)];
+  const std::string_view why = kRequestErrorNames[static_cast<std::size_t>(refusal.cause)];
   log::event("bad_request", {{"connection", id_}, {"why", why}}, log::Level::debug);
-  if (bad.status == 0) return std::nullopt;
+  if (refusal.status == 0) return std::nullopt;
   close_reason_ = CloseReason::bad_request;
-  // What follows on this connection can't be told apart any more, or would be the same again at once.
-  reply(bad.status, fmt::format("{}\n", why), false);
+  // After a malformed request the begin of the next one can't be found; after another refused request, the
+  // next one would be refused in the same way. So the connection closes.
+  reply(refusal.status, fmt::format("{}\n", why), false);
   ::shutdown(fd_.get(), SHUT_WR);
   return IdleConnections::WaitsFor::peer_close;
 }
@@ -175,384 +221,489 @@
   return (io == IoResult::done || io == IoResult::late) && discarded_bytes_ < kMaxDiscardedBytes;
 }
 
+// Whether this node answers the request itself: its readiness or its counters.
 bool ClientConnection::is_node_path(const Request& request) {
   return request.target == kReadyPath || request.target == kCountersPath;
 }
 
-// Whether it is what a usual client sends: the method follows from what a repeat would do.
-bool ClientConnection::wanted(InvocationContext& work, BadRequest& bad) {
-  const Request& request = work.request;
-  const auto refused = [&](int status, RequestError cause) { return bad = {status, cause}, false; };
-  const auto workload = work.request_config->workloads.find(request.workload);
-  if (workload == work.request_config->workloads.end()) return refused(404, RequestError::no_workload);
-  work.offer = workload->second;
-  const Semantics semantics = work.offer.semantics;
-  const bool reads = semantics == Semantics::idempotent;
-  if (request.method != (reads ? "GET" : "POST")) return refused(405, RequestError::wrong_method);
-  if (reads && !request.remaining_body.whole()) return refused(400, RequestError::body_of_get);
-  if (request.remaining_ms < 0) return refused(400, RequestError::no_limit);
-  if (semantics == Semantics::idempotency_keyed && !request.has_idempotency_key) return refused(400, RequestError::no_label);
+// Looks up the workload and checks that the request has what the workload's semantics need: GET for
+// idempotent workloads, POST for all others, a time limit, and an idempotency key where the semantics ask for
+// one. False: `refusal` says what is wrong.
+bool ClientConnection::resolve_workload(InvocationContext& context, BadRequest& refusal) {
+  const Request& request = context.request;
+  const auto refuse_with = [&](int status, RequestError cause) { return refusal = {status, cause}, false; };
+  const auto workload = context.request_config->workloads.find(request.workload);
+  if (workload == context.request_config->workloads.end()) return refuse_with(404, RequestError::no_workload);
+  context.workload_entry = workload->second;
+  const Semantics semantics = context.workload_entry.semantics;
+  const bool is_idempotent = semantics == Semantics::idempotent;
+  if (request.method != (is_idempotent ? "GET" : "POST")) return refuse_with(405, RequestError::wrong_method);
+  if (is_idempotent && !request.remaining_body.whole()) return refuse_with(400, RequestError::body_of_get);
+  if (request.remaining_ms < 0) return refuse_with(400, RequestError::no_limit);
+  if (semantics == Semantics::idempotency_keyed && !request.has_idempotency_key)
+    return refuse_with(400, RequestError::no_label);
   return true;
 }
 
-// Answers a request; false: the connection is over.
-bool ClientConnection::answer(const std::shared_ptr<InvocationContext>& work, TenthsOfMs arrived) {
-  const Request& request = work->request;
-  const bool keep = request.keep_alive && may_keep_alive_ && !node_.closes_connections_after_answer();
+// Answers a request. False: the connection is over.
+bool ClientConnection::answer(const std::shared_ptr<InvocationContext>& context, TenthsOfMs arrived) {
+  const Request& request = context->request;
+  const bool keep_open = request.keep_alive && may_keep_alive_ && !node_.closes_connections_after_answer();
   if (request.target == kReadyPath)
-    return node_.ready() ? reply(200, "up\n", keep) : reply(503, "not up\n", keep);
-  if (request.target == kCountersPath) return reply(200, node_.counters_text(), keep);
+    return node_.ready() ? reply(200, "up\n", keep_open) : reply(503, "not up\n", keep_open);
+  if (request.target == kCountersPath) return reply(200, node_.counters_text(), keep_open);
   if (!is_within_budget_) {  // nothing was handed off
-    ++work->offer.answers->rejected;
+    ++context->workload_entry.answers->rejected;
     return refuse({503, RequestError::no_room}), false;
   }
   if (node_.needs_idle_connections()) {
-    ++work->offer.answers->rejected;
-    return ++node_.counters_.turned_off_stopping, reply(503, "stopping\n", keep);
+    ++context->workload_entry.answers->rejected;
+    return ++node_.counters_.turned_off_stopping, reply(503, "stopping\n", keep_open);
   }
-  // Handed off once more, it would be a second copy of what another client waits for.
-  work->open.emplace(node_.open_transactions_, request.transaction);
-  if (!work->open->is_new()) return refuse({409, RequestError::id_open}), false;
-  return invoke(work, arrived);
-}
-
-bool ClientConnection::invoke(const std::shared_ptr<InvocationContext>& work, TenthsOfMs arrived) {
-  const Request& request = work->request;
-  core::IncomingInvocation demand;
-  demand.workload = work->offer.workload_handle.workload;
-  demand.workload_reference = work->offer.workload_handle.workload_reference;
-  const auto tenant = work->request_config->tenants.find(request.tenant);
-  if (tenant != work->request_config->tenants.end()) demand.tenant = tenant->second;
-  demand.arrived = arrived;
-  demand.valid_until = arrived + request.remaining_ms * kTenthsPerMs;
-  work->client_limit = node_.clock_.at(demand.valid_until);
-  if (work->has_streaming_body) {
+  // A second invocation with the same transaction id would repeat what another client already waits for.
+  context->transaction.emplace(node_.open_transactions_, request.transaction);
+  if (!context->transaction->is_new()) return refuse({409, RequestError::id_open}), false;
+  return invoke(context, arrived);
+}
+
+// Runs an invocation from its acceptance by the balancer to its final answer. False: the connection is over.
+bool ClientConnection::invoke(const std::shared_ptr<InvocationContext>& context, TenthsOfMs arrived) {
+  const Request& request = context->request;
+  core::IncomingInvocation invocation;
+  invocation.workload = context->workload_entry.workload_handle.workload;
+  invocation.workload_reference = context->workload_entry.workload_handle.workload_reference;
+  const auto tenant = context->request_config->tenants.find(request.tenant);
+  if (tenant != context->request_config->tenants.end()) invocation.tenant = tenant->second;
+  invocation.arrived = arrived;
+  invocation.valid_until = arrived + request.remaining_ms * kTenthsPerMs;
+  context->client_deadline = node_.clock_.at(invocation.valid_until);
+  if (context->has_streaming_body) {
     ++node_.counters_.bodies_flowed;
-    // Its client's time runs from its last byte, which may be as long in coming as is promised.
-    const auto left = static_cast<std::int64_t>(
+    // The client's time limit counts from the last byte of the body, which may arrive as slowly as
+    // kMinBytesPerMs allows.
+    const auto remaining_bytes = static_cast<std::int64_t>(
         request.remaining_body.framing() == Framing::length ? request.remaining_body.left() : kMaxBodyBytes);
-    demand.valid_until += (left / kMinBytesPerMs + kBodyPieceTimeout.count()) * kTenthsPerMs;
-    demand.has_streaming_body = true;
-    work->flow.remaining_body = &work->request.remaining_body;
-    work->flow.remaining_ms = request.remaining_ms - 20;
-    work->flow.next = [this, mine = work.get()](std::string& piece) { return next_body_piece(*mine, piece); };
+    invocation.valid_until += (remaining_bytes / kMinBytesPerMs + kBodyPieceTimeout.count()) * kTenthsPerMs;
+    invocation.has_streaming_body = true;
+    context->streamed_body.remaining_body = &context->request.remaining_body;
+    context->streamed_body.remaining_ms = request.remaining_ms - 20;
+    context->streamed_body.next = [this, captured = context.get()](std::string& piece) {
+      return next_body_piece(*captured, piece);
+    };
   }
-  demand.hint = request.hint_micros / 100;
-  demand.is_client_retry = request.is_client_retry;
-  const bool wants_more = request.keep_alive && may_keep_alive_;
+  invocation.hint = request.hint_micros / 100;
+  invocation.is_client_retry = request.is_client_retry;
+  const bool client_keeps_alive = request.keep_alive && may_keep_alive_;
   ++node_.counters_.taken;
-  const OpenInvocationCount open(node_.counters_.open);
-  const core::InvocationHandle& ticket = work->ticket;
+  const OpenInvocationCount open_count(node_.counters_.open);
+  const core::InvocationHandle& handle = context->handle;
   try {
-    if (can_detect_disconnect_) work->client_socket = fd_.get();
-    work->ticket = node_.balancer_.accept(demand);
-    std::optional<DisconnectMonitor::ScopedMonitor> vigil;
-    if (can_detect_disconnect_ && !node_.balancer_.is_answered(ticket)) vigil.emplace(node_.disconnect_monitor_, fd_.get(), ticket);
+    if (can_detect_disconnect_) context->client_socket = fd_.get();
+    context->handle = node_.balancer_.accept(invocation);
+    std::optional<DisconnectMonitor::ScopedMonitor> scoped_monitor;
+    if (can_detect_disconnect_ && !node_.balancer_.is_answered(handle))
+      scoped_monitor.emplace(node_.disconnect_monitor_, fd_.get(), handle);
     for (;;) {
-      const core::Instruction step = node_.balancer_.next_instruction(ticket);
-      if (step.what == core::InstructionKind::hand_off) hand_off(work, step);
-      else if (step.what == core::InstructionKind::cancel) cancel(*work, step.number);
-      else return trace_answer(*work, kInstructionNames[static_cast<std::size_t>(step.what)], arrived), end(*work, step, wants_more && !node_.closes_connections_after_answer());
+      const core::Instruction instruction = node_.balancer_.next_instruction(handle);
+      if (instruction.what == core::InstructionKind::hand_off) hand_off(context, instruction);
+      else if (instruction.what == core::InstructionKind::cancel) cancel(*context, instruction.number);
+      else
+        return trace_answer(*context, kInstructionNames[static_cast<std::size_t>(instruction.what)], arrived),
+               send_final_answer(*context, instruction,
+                                 client_keeps_alive && !node_.closes_connections_after_answer());
     }
-  } catch (const std::exception& broke) {  // ends this invocation, with an answer that promises nothing
-    log::error("invocation: {}", broke.what());
+  } catch (const std::exception& failure) {
+    // Ends this invocation with a status that does not say whether a backend ran it.
+    log::error("invocation: {}", failure.what());
     ++node_.counters_.broke_inside;
-    ++work->offer.answers->given_up;
-    if (ticket) node_.balancer_.client_gone(ticket);
+    ++context->workload_entry.answers->given_up;
+    if (handle) node_.balancer_.client_gone(handle);
     return reply(500, "broke inside\n", false);
   }
 }
 
-void ClientConnection::cancel(const InvocationContext& work, int number) {
+// Cancels a hand-off that is in flight.
+void ClientConnection::cancel(const InvocationContext& context, int number) {
   const auto n = static_cast<std::size_t>(number);
-  if (n < work.exchanges.size() && work.exchanges[n]) work.exchanges[n]->cancel();
+  if (n < context.exchanges.size() && context.exchanges[n]) context.exchanges[n]->cancel();
 }
 
-// One request's end, for who follows it by its transaction through connection, hand-offs and answer.
-void ClientConnection::trace_answer(const InvocationContext& work, std::string_view how, TenthsOfMs arrived) const {
+// Logs the end of a request. The transaction id links it to the connection, the hand-offs and the answer.
+void ClientConnection::trace_answer(const InvocationContext& context, std::string_view how,
+                                    TenthsOfMs arrived) const {
   if (!log::wanted(log::Level::debug)) return;
-  log::event("answered", {{"transaction", std::string_view(work.request.transaction)}, {"connection", id_}, {"how", how},
-                          {"hand_offs", std::uint64_t{work.exchanges.size()}}, {"held_ms", std::int64_t{(node_.clock_.now() - arrived) / kTenthsPerMs}},
-                          {"told_ms", work.request.remaining_ms},
-                          {"read_late_ms", milliseconds_between(work.arrived, work.read)}},
+  log::event("answered",
+             {{"transaction", std::string_view(context.request.transaction)},
+              {"connection", id_},
+              {"how", how},
+              {"hand_offs", std::uint64_t{context.exchanges.size()}},
+              {"held_ms", std::int64_t{(node_.clock_.now() - arrived) / kTenthsPerMs}},
+              {"told_ms", context.request.remaining_ms},
+              {"read_late_ms", milliseconds_between(context.arrived, context.read_at)}},
              log::Level::debug);
 }
 
-// When the last byte came of what has just been read: within what the looks at the connection allow, by the system's word
-// where that was seen to be true. The clock is read before the system is asked, so that a pause in between makes no request younger.
+// When the last byte of what has just been read arrived: the time that the system reports, if its times were
+// found reliable, bounded by what the checks of the socket allow. The clock is read before the system is
+// asked, so that a pause of the thread in between makes no request look younger.
 ClientConnection::LastByte ClientConnection::last_byte() const {
   const TimePoint now = TimePoint::clock::now();
   const auto since = time_since_last_receive(fd_.get());
   if (since) node_.request_system_time_check();
-  const bool by_system = since && node_.trusts_system_times_;
-  return {by_system ? arrival_.arrival_by_system_time(now - *since) : arrival_.arrival(), by_system, since};
+  const bool is_by_system_time = since && node_.trusts_system_times_;
+  return {is_by_system_time ? arrival_.arrival_by_system_time(now - *since) : arrival_.arrival(),
+          is_by_system_time, since};
 }
 
-// Where less of a body is unread than its rest, the last byte has not come. A sender that is faster than its backend
-// leaves something unread at every look, which would all count as come with the first.
+// If fewer bytes are unread than the rest of the body has, its last byte has not arrived yet. Without this, a
+// client that sends faster than the backend reads leaves unread bytes at every check, and all of the body
+// would count as arrived with its first byte.
 void ClientConnection::note_rest_unsent(const Body& remaining_body) {
   const TimePoint now = TimePoint::clock::now();
   const auto unread = unread_byte_count(fd_.get());
   if (unread && *unread + reader_.buffered_bytes() < remaining_body.left()) arrival_.no_bytes_until(now);
 }
 
-// The next piece of a body that flows. Its client's time runs from the last byte, whenever that is passed on.
-ReadResult ClientConnection::next_body_piece(InvocationContext& work, std::string& piece) {
-  note_rest_unsent(work.request.remaining_body);
-  const ReadResult got = work.request.remaining_body.next(reader_, TimePoint::clock::now() + kBodyPieceTimeout, piece);
-  if (work.request.remaining_body.whole()) work.flow.last_byte_at = last_byte().came;
-  return got;
+// Reads the next piece of a streamed body. The client's time limit counts from the arrival of the last byte,
+// whenever that byte is sent to the backend.
+ReadResult ClientConnection::next_body_piece(InvocationContext& context, std::string& piece) {
+  note_rest_unsent(context.request.remaining_body);
+  const ReadResult read_result =
+      context.request.remaining_body.next(reader_, TimePoint::clock::now() + kBodyPieceTimeout, piece);
+  if (context.request.remaining_body.whole()) context.streamed_body.last_byte_at = last_byte().arrived_at;
+  return read_result;
 }
 
-void ClientConnection::note_times(InvocationContext& work) {
+// Notes when the request arrived and when it was read, and compares the system's time with the checks of the
+// socket.
+void ClientConnection::note_times(InvocationContext& context) {
   const LastByte last = last_byte();
-  work.arrived = last.came;
-  work.by_system = last.by_system;
-  work.reported_ago = last.reported_ago;
-  work.no_bytes_until = arrival_.earliest();
-  work.seen = arrival_.latest();
-  work.read = TimePoint::clock::now();
-  ++(work.by_system ? node_.counters_.arrivals_by_system : node_.counters_.arrivals_by_looks);
-  if (!work.reported_ago) return;
-  const TimePoint told = work.read - *work.reported_ago;
-  if (told < work.no_bytes_until - kSystemTimesTolerance || told > arrival_.last_bytes_found_at() + kSystemTimesTolerance) note_contradiction(work);
-}
-
-// The system's word does not fit what the looks at the connection found.
-void ClientConnection::note_contradiction(const InvocationContext& work) {
+  context.arrived = last.arrived_at;
+  context.is_by_system_time = last.is_by_system_time;
+  context.reported_ago = last.reported_ago;
+  context.no_bytes_until = arrival_.earliest();
+  context.seen_at = arrival_.latest();
+  context.read_at = TimePoint::clock::now();
+  ++(context.is_by_system_time ? node_.counters_.arrivals_by_system : node_.counters_.arrivals_by_looks);
+  if (!context.reported_ago) return;
+  const TimePoint reported = context.read_at - *context.reported_ago;
+  if (reported < context.no_bytes_until - kSystemTimesTolerance ||
+      reported > arrival_.last_bytes_found_at() + kSystemTimesTolerance)
+    note_contradiction(context);
+}
+
+// Counts and logs that the time reported by the system contradicts the checks of the socket.
+void ClientConnection::note_contradiction(const InvocationContext& context) {
   ++node_.counters_.system_times_contradicted;
-  log::event("system_time_contradicted", {{"transaction", std::string_view(work.request.transaction)}, {"told_ago_ms", std::int64_t{work.reported_ago->count()}},
-                                          {"nothing_ago_ms", milliseconds_between(work.no_bytes_until, work.read)},
-                                          {"seen_ago_ms", milliseconds_between(work.seen, work.read)}},
+  log::event("system_time_contradicted",
+             {{"transaction", std::string_view(context.request.transaction)},
+              {"told_ago_ms", std::int64_t{context.reported_ago->count()}},
+              {"nothing_ago_ms", milliseconds_between(context.no_bytes_until, context.read_at)},
+              {"seen_ago_ms", milliseconds_between(context.seen_at, context.read_at)}},
              log::Level::debug);
 }
 
-void ClientConnection::note_late_reading(const InvocationContext& work) {
+// Counts and logs a request that was read late.
+void ClientConnection::note_late_reading(const InvocationContext& context) {
   ++node_.counters_.read_late;
-  log::event("read_late", {{"transaction", std::string_view(work.request.transaction)}, {"ms", milliseconds_between(work.arrived, work.read)}},
+  log::event("read_late",
+             {{"transaction", std::string_view(context.request.transaction)},
+              {"ms", milliseconds_between(context.arrived, context.read_at)}},
              log::Level::debug);
 }
 
-// A client that leaves about when its limit has passed may have waited in vain. Times are milliseconds since what was
-// taken for its request's last byte.
-void ClientConnection::note_disconnect(const InvocationContext& work) const {
-  const auto since_arrival = [&work](TimePoint when) { return milliseconds_between(work.arrived, when); };
+// Counts and logs a client that disconnects at about its time limit: it may have waited without getting an
+// answer. Logged times are milliseconds since the assumed arrival of the request's last byte.
+void ClientConnection::note_disconnect(const InvocationContext& context) const {
+  const auto since_arrival = [&context](TimePoint when) {
+    return milliseconds_between(context.arrived, when);
+  };
   const TimePoint now = TimePoint::clock::now();
-  if (work.has_streaming_body || now < work.client_limit - kNearLimit) return;
+  if (context.has_streaming_body || now < context.client_deadline - kNearLimit) return;
   ++node_.counters_.left_at_limit;
-  log::event("left_at_limit", {{"transaction", std::string_view(work.request.transaction)}, {"connection", id_},
-                               {"answers", std::uint64_t{answered_count_}}, {"hand_offs", std::uint64_t{work.exchanges.size()}},
-                               {"limit_ms", work.request.remaining_ms}, {"left_ms", since_arrival(now)},
-                               {"read_ms", since_arrival(work.read)}, {"seen_ms", since_arrival(work.seen)},
-                               {"nothing_ms", since_arrival(work.no_bytes_until)}, {"accepted_ms", since_arrival(connected_)},
-                               {"told_ago_ms", work.reported_ago ? std::int64_t{work.reported_ago->count()} : std::int64_t{-1}},
-                               {"by", work.by_system ? std::string_view("system") : std::string_view("looks")}});
-}
-
-// The two ends of an answer that goes on as it comes.
-void ClientConnection::trace_flow(const InvocationContext& work, std::string_view stage, std::string_view how, std::size_t bytes) {
-  log::event("answer_flows", {{"transaction", std::string_view(work.request.transaction)}, {"stage", stage}, {"how", how}, {"bytes", std::uint64_t{bytes}}},
+  log::event(
+      "left_at_limit",
+      {{"transaction", std::string_view(context.request.transaction)},
+       {"connection", id_},
+       {"answers", std::uint64_t{answered_count_}},
+       {"hand_offs", std::uint64_t{context.exchanges.size()}},
+       {"limit_ms", context.request.remaining_ms},
+       {"left_ms", since_arrival(now)},
+       {"read_ms", since_arrival(context.read_at)},
+       {"seen_ms", since_arrival(context.seen_at)},
+       {"nothing_ms", since_arrival(context.no_bytes_until)},
+       {"accepted_ms", since_arrival(connected_)},
+       {"told_ago_ms", context.reported_ago ? std::int64_t{context.reported_ago->count()} : std::int64_t{-1}},
+       {"by", context.is_by_system_time ? std::string_view("system") : std::string_view("looks")}});
+}
+
+// Logs the begin and the end of a forwarded answer.
+void ClientConnection::trace_forwarding(const InvocationContext& context, std::string_view stage,
+                                        std::string_view how, std::size_t forwarded_bytes) {
+  log::event("answer_flows",
+             {{"transaction", std::string_view(context.request.transaction)},
+              {"stage", stage},
+              {"how", how},
+              {"bytes", std::uint64_t{forwarded_bytes}}},
              log::Level::debug);
 }
 
-// An answer that broke after it had begun to go on to its client. Times are milliseconds since the request's last byte.
-void ClientConnection::note_cut_answer(const InvocationContext& work, std::string_view why, TimePoint begun, TimePoint last_piece, std::size_t bytes) {
-  const auto since_arrival = [&work](TimePoint when) { return milliseconds_between(work.arrived, when); };
-  log::event("answer_cut", {{"transaction", std::string_view(work.request.transaction)}, {"why", why}, {"bytes", std::uint64_t{bytes}},
-                            {"limit_ms", work.request.remaining_ms}, {"begun_ms", since_arrival(begun)},
-                            {"last_piece_ms", since_arrival(last_piece)}, {"cut_ms", since_arrival(TimePoint::clock::now())}});
-}
-
-// Writes an invocation's one answer.
-bool ClientConnection::end(const InvocationContext& work, const core::Instruction& step, bool keep) {
-  if (step.what == core::InstructionKind::gone) return ++node_.counters_.client_gone, note_disconnect(work), false;
-  if (step.what == core::InstructionKind::succeeded) {
+// Logs an answer that was cut short after its begin had been forwarded to the client. Times are milliseconds
+// since the arrival of the request's last byte.
+void ClientConnection::note_cut_answer(const InvocationContext& context, std::string_view why,
+                                       TimePoint started_at, TimePoint last_piece_at,
+                                       std::size_t forwarded_bytes) {
+  const auto since_arrival = [&context](TimePoint when) {
+    return milliseconds_between(context.arrived, when);
+  };
+  log::event("answer_cut", {{"transaction", std::string_view(context.request.transaction)},
+                            {"why", why},
+                            {"bytes", std::uint64_t{forwarded_bytes}},
+                            {"limit_ms", context.request.remaining_ms},
+                            {"begun_ms", since_arrival(started_at)},
+                            {"last_piece_ms", since_arrival(last_piece_at)},
+                            {"cut_ms", since_arrival(TimePoint::clock::now())}});
+}
+
+// Writes the one final answer of an invocation. False: the connection is over.
+bool ClientConnection::send_final_answer(const InvocationContext& context,
+                                         const core::Instruction& instruction, bool keep_open) {
+  if (instruction.what == core::InstructionKind::gone)
+    return ++node_.counters_.client_gone, note_disconnect(context), false;
+  if (instruction.what == core::InstructionKind::succeeded) {
     ++node_.counters_.succeeded;
-    Exchange& exchange = *work.exchanges.at(static_cast<std::size_t>(step.number));
-    if (!exchange.remaining_body().whole()) return forward_answer(work, exchange, keep);
+    Exchange& exchange = *context.exchanges.at(static_cast<std::size_t>(instruction.number));
+    if (!exchange.remaining_body().whole()) return forward_answer(context, exchange, keep_open);
     const Response& r = exchange.answer();
-    ++work.offer.answers->succeeded;
-    return write(format_response_head(200, r.content_type, r.body.size(), keep), r.body) && keep;
+    ++context.workload_entry.answers->succeeded;
+    return write(format_response_head(200, r.content_type, r.body.size(), keep_open), r.body) && keep_open;
   }
-  if (step.what == core::InstructionKind::give_up) {
+  if (instruction.what == core::InstructionKind::give_up) {
     ++node_.counters_.given_up;
-    ++work.offer.answers->given_up;
-    return reply(502, "given up\n", keep);
+    ++context.workload_entry.answers->given_up;
+    return reply(502, "given up\n", keep_open);
   }
   ++node_.counters_.rejected;
-  ++work.offer.answers->rejected;
+  ++context.workload_entry.answers->rejected;
   was_rejected_ = true;
-  const auto retry = fmt::format("Retry-After: {:.4f}\r\n", static_cast<double>(step.retry_in) / 1e4);
-  return reply(503, "rejected\n", keep, step.retry_in > 0 ? retry : "");
+  const auto retry = fmt::format("Retry-After: {:.4f}\r\n", static_cast<double>(instruction.retry_in) / 1e4);
+  return reply(503, "rejected\n", keep_open, instruction.retry_in > 0 ? retry : "");
 }
 
-// The next piece of an answer that goes on. A backend that pauses is waited for until its client's limit, after that
-// for a while each time; no longer than this node has once it was told to end.
-ReadResult ClientConnection::next_answer_piece(const InvocationContext& work, Exchange& exchange, std::string& piece) {
-  const TimePoint limit = std::max(work.client_limit, TimePoint::clock::now() + kLatePauseLimit);
+// Reads the next piece of a forwarded answer. While the backend pauses, waits until the client's time limit,
+// after that limit up to kLatePauseLimit for each piece; in both cases no longer than the shutdown of this
+// node allows.
+ReadResult ClientConnection::next_answer_piece(const InvocationContext& context, Exchange& exchange,
+                                               std::string& piece) {
+  const TimePoint deadline = std::max(context.client_deadline, TimePoint::clock::now() + kLatePauseLimit);
   for (;;) {
     const TimePoint now = TimePoint::clock::now();
-    const ReadResult got = exchange.next(std::min(limit, now + kStopCheckInterval), piece);
-    if (got != ReadResult::late || TimePoint::clock::now() >= limit || TimePoint::clock::now() >= node_.answer_deadline_.load()) return got;
+    const ReadResult read_result = exchange.next(std::min(deadline, now + kStopCheckInterval), piece);
+    if (read_result != ReadResult::late || TimePoint::clock::now() >= deadline ||
+        TimePoint::clock::now() >= node_.answer_deadline_.load())
+      return read_result;
   }
 }
 
-// Whether a close of the client's connection looks like an end of its answer, so that only a reset tells a break.
-void ClientConnection::set_reset_on_close(bool resets) {
-  const linger option{resets ? 1 : 0, 0};
+// Switches SO_LINGER so that close() sends a reset instead of an orderly end. For answers whose end is the
+// close of the connection: only a reset shows the client that such an answer was cut short.
+void ClientConnection::set_reset_on_close(bool is_enabled) {
+  const linger option{is_enabled ? 1 : 0, 0};
   ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &option, sizeof option);
 }
 
-// An answer too long to keep, or that is slow but goes on. What still comes is never cut; where it breaks its client can
-// tell that it is not whole, also where this process is killed.
-bool ClientConnection::forward_answer(const InvocationContext& work, Exchange& exchange, bool keep) {
+// Forwards an answer as it arrives, because the answer is too long to be buffered or arrives slowly. What the
+// backend still sends is never cut. If the answer breaks, the client can see that it is incomplete, even
+// where this process is killed.
+bool ClientConnection::forward_answer(const InvocationContext& context, Exchange& exchange, bool keep_open) {
   const Response& r = exchange.answer();
   const bool has_length = exchange.remaining_body().framing() == Framing::length;
-  const bool in_chunks = !has_length && !work.request.is_http_1_0;
-  const bool ends_by_close = !has_length && !in_chunks;
-  keep = keep && !ends_by_close;
+  const bool is_chunked = !has_length && !context.request.is_http_1_0;
+  const bool ends_at_close = !has_length && !is_chunked;
+  keep_open = keep_open && !ends_at_close;
   ++node_.counters_.answers_flowed;
-  std::string head = has_length ? format_response_head(200, r.content_type, r.body.size() + exchange.remaining_body().left(), keep)
-                                : format_streamed_head(r.content_type, in_chunks, keep);
+  std::string head = has_length
+                         ? format_response_head(200, r.content_type,
+                                                r.body.size() + exchange.remaining_body().left(), keep_open)
+                         : format_streamed_head(r.content_type, is_chunked, keep_open);
   const auto framed = [&](std::string_view piece) {
-    return in_chunks ? fmt::format("{:x}\r\n{}\r\n", piece.size(), piece) : std::string(piece);
+    return is_chunked ? fmt::format("{:x}\r\n{}\r\n", piece.size(), piece) : std::string(piece);
   };
-  trace_flow(work, "begins", kFramingNames[static_cast<std::size_t>(exchange.remaining_body().framing())], r.body.size());
-  if (ends_by_close) set_reset_on_close(true);
-  std::size_t passed = r.body.size();
-  const TimePoint begun = TimePoint::clock::now();
-  TimePoint last_piece = begun;
-  ReadResult got = ReadResult::whole;
-  bool taken = write(std::move(head), r.body.empty() ? "" : framed(r.body));  // by the client
-  for (std::string piece; taken && got == ReadResult::whole && !exchange.remaining_body().whole(); piece.clear()) {
-    got = next_answer_piece(work, exchange, piece);
-    if (got == ReadResult::whole) last_piece = TimePoint::clock::now();
-    taken = got != ReadResult::whole || piece.empty() || write("", framed(piece));
-    passed += piece.size();
+  trace_forwarding(context, "begins",
+                   kFramingNames[static_cast<std::size_t>(exchange.remaining_body().framing())],
+                   r.body.size());
+  if (ends_at_close) set_reset_on_close(true);
+  std::size_t forwarded_bytes = r.body.size();
+  const TimePoint started_at = TimePoint::clock::now();
+  TimePoint last_piece_at = started_at;
+  ReadResult read_result = ReadResult::whole;
+  bool is_client_reading = write(std::move(head), r.body.empty() ? "" : framed(r.body));
+  for (std::string piece;
+       is_client_reading && read_result == ReadResult::whole && !exchange.remaining_body().whole();
+       piece.clear()) {
+    read_result = next_answer_piece(context, exchange, piece);
+    if (read_result == ReadResult::whole) last_piece_at = TimePoint::clock::now();
+    is_client_reading = read_result != ReadResult::whole || piece.empty() || write("", framed(piece));
+    forwarded_bytes += piece.size();
   }
-  bool whole = taken && got == ReadResult::whole;
-  if (whole && in_chunks) whole = taken = write("", "0\r\n\r\n");
-  const std::string_view how = taken ? kReadResultNames[static_cast<std::size_t>(got)] : "client_gone";
-  trace_flow(work, "ends", how, passed);
+  bool is_complete = is_client_reading && read_result == ReadResult::whole;
+  if (is_complete && is_chunked) is_complete = is_client_reading = write("", "0\r\n\r\n");
+  const std::string_view how =
+      is_client_reading ? kReadResultNames[static_cast<std::size_t>(read_result)] : "client_gone";
+  trace_forwarding(context, "ends", how, forwarded_bytes);
   exchange.release_connection();
-  ++(whole ? work.offer.answers->succeeded : work.offer.answers->given_up);
-  if (whole && ends_by_close) set_reset_on_close(false);
-  if (whole) return keep;
-  note_cut_answer(work, how, begun, last_piece, passed);
+  ++(is_complete ? context.workload_entry.answers->succeeded : context.workload_entry.answers->given_up);
+  if (is_complete && ends_at_close) set_reset_on_close(false);
+  if (is_complete) return keep_open;
+  note_cut_answer(context, how, started_at, last_piece_at, forwarded_bytes);
   ++node_.counters_.answers_cut;
   close_reason_ = CloseReason::answer_cut;
-  is_reset_on_close_ = ends_by_close;
+  is_reset_on_close_ = ends_at_close;
   return false;
 }
 
-// A hand-off is run by the client's own thread: to wake another for each one, and to be woken by that, took
-// so much of the processor time that a node with all the load of two was at its share. What comes up
-// meanwhile is done by whoever brings it up, a second copy in a thread of its own.
-void ClientConnection::hand_off(const std::shared_ptr<InvocationContext>& work, const core::Instruction& step) {
-  const std::function<void()> run = prepare_hand_off(node_, work, step);
-  if (!work->request_config->may_cancel) {  // nothing would end it before its time
-    if (!run || !node_.hand_off_threads_.run(run)) finish_hand_off(node_, *work, step.number, ExchangeResult::no_room);
+// Runs a hand-off on the thread that serves the client: waking another thread for each hand-off, and being
+// woken by it, cost so much processor time that a node that carried the load of two nodes reached its
+// processor limit. Instructions that come up meanwhile are carried out by the thread that causes them; a
+// hedge gets a thread of its own.
+void ClientConnection::hand_off(const std::shared_ptr<InvocationContext>& context,
+                                const core::Instruction& instruction) {
+  const std::function<void()> run = prepare_hand_off(node_, context, instruction);
+  // A hand-off that can't be cancelled may outlast the invocation, so this thread stays free to answer.
+  if (!context->request_config->may_cancel) {
+    if (!run || !node_.hand_off_threads_.run(run))
+      finish_hand_off(node_, *context, instruction.number, ExchangeResult::no_room);
     return;
   }
-  node_.balancer_.set_urgent_handler(work->ticket, [&node = node_, mine = std::weak_ptr(work)](const core::Instruction& more) {
-    const auto work_there = mine.lock();
-    if (!work_there) return false;
-    if (more.what == core::InstructionKind::cancel) return cancel(*work_there, more.number), true;
-    const std::function<void()> copy = prepare_hand_off(node, work_there, more);
-    if (copy && node.hand_off_threads_.run(copy)) return true;
-    node.counters_.count(ExchangeResult::no_room);
-    return false;
-  });
+  node_.balancer_.set_urgent_handler(
+      context->handle, [&node = node_, captured = std::weak_ptr(context)](const core::Instruction& urgent) {
+        const auto live_context = captured.lock();
+        if (!live_context) return false;
+        if (urgent.what == core::InstructionKind::cancel) return cancel(*live_context, urgent.number), true;
+        const std::function<void()> hedge = prepare_hand_off(node, live_context, urgent);
+        if (hedge && node.hand_off_threads_.run(hedge)) return true;
+        node.counters_.count(ExchangeResult::no_room);
+        return false;
+      });
   if (run) run();
-  else finish_hand_off(node_, *work, step.number, ExchangeResult::no_room);
-}
-
-void ClientConnection::finish_hand_off(Node& node, const InvocationContext& work, int number, ExchangeResult ended) {
-  node.counters_.count(ended);
-  core::Balancer::HandOffDetails sent;
-  if (work.has_streaming_body) {  // how long its client took to send it tells nothing of the backend
-    const auto since = TimePoint::clock::now() - work.flow.sent_at;
-    sent.is_body_consumed = work.flow.is_partly_consumed;
-    sent.elapsed = work.flow.sent_at == TimePoint() ? 0 : std::chrono::duration_cast<std::chrono::microseconds>(since).count() / 100;
+  else finish_hand_off(node_, *context, instruction.number, ExchangeResult::no_room);
+}
+
+// Counts how a hand-off ended and reports the end to the balancer.
+void ClientConnection::finish_hand_off(Node& node, const InvocationContext& context, int number,
+                                       ExchangeResult result) {
+  node.counters_.count(result);
+  core::Balancer::HandOffDetails details;
+  // The time that the client took to send its body says nothing about the backend.
+  if (context.has_streaming_body) {
+    const auto since = TimePoint::clock::now() - context.streamed_body.sent_at;
+    details.is_body_consumed = context.streamed_body.is_partly_consumed;
+    details.elapsed = context.streamed_body.sent_at == TimePoint()
+                          ? 0
+                          : std::chrono::duration_cast<std::chrono::microseconds>(since).count() / 100;
   }
-  node.balancer_.report(work.ticket, number, classify_result(ended), sent);
+  node.balancer_.report(context.handle, number, classify_result(result), details);
 }
 
-// One hand-off's way, for who follows a request through the nodes: times are milliseconds since the node's thread took it up.
-void ClientConnection::trace_hand_off(const InvocationContext& work, int number, const Target& target, TimePoint begun, const Exchange& exchange, ExchangeResult ended) {
+// Logs one hand-off, so that a request can be followed through the nodes. Times are milliseconds since a
+// thread of this node began the hand-off.
+void ClientConnection::trace_hand_off(const InvocationContext& context, int number, const Target& target,
+                                      TimePoint started_at, const Exchange& exchange, ExchangeResult result) {
   if (!log::wanted(log::Level::debug)) return;
-  const auto since = [begun](TimePoint when) {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(when - begun).count();
+  const auto since = [started_at](TimePoint when) {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(when - started_at).count();
   };
-  log::event("hand_off", {{"transaction", std::string_view(work.request.transaction)}, {"number", std::int64_t{number}},
-                          {"to", std::string_view(address_text(target.address))}, {"first_byte", exchange.first_byte_at() == TimePoint() ? std::int64_t{-1} : since(exchange.first_byte_at())},
-                          {"over", since(TimePoint::clock::now())}, {"ended", kExchangeResultNames[static_cast<std::size_t>(ended)]}}, log::Level::debug);
-}
-
-// Whether somebody still waits for the answer. Asked right before an attempt's first byte: where attempts can't be
-// cancelled, one whose connection was slow to come up was sent long after its client had gone or had its answer. The
-// monitor of clients' sockets has a thread of its own, which may not have run yet.
-bool ClientConnection::is_still_wanted(Node& node, const InvocationContext& work) {
-  if (node.balancer_.is_answered(work.ticket)) return false;
-  if (work.client_socket < 0 || !peer_has_closed(work.client_socket)) return true;
-  node.balancer_.client_gone(work.ticket);
+  log::event("hand_off",
+             {{"transaction", std::string_view(context.request.transaction)},
+              {"number", std::int64_t{number}},
+              {"to", std::string_view(address_text(target.address))},
+              {"first_byte",
+               exchange.first_byte_at() == TimePoint() ? std::int64_t{-1} : since(exchange.first_byte_at())},
+              {"over", since(TimePoint::clock::now())},
+              {"ended", kExchangeResultNames[static_cast<std::size_t>(result)]}},
+             log::Level::debug);
+}
+
+// Whether the client still waits for an answer. Checked right before the first byte of a hand-off is sent:
+// where hand-offs can't be cancelled, a hand-off whose connection was slow to be established was sent long
+// after its client had gone or had its answer. The disconnect monitor has a thread of its own, which may not
+// have run yet.
+bool ClientConnection::is_still_wanted(Node& node, const InvocationContext& context) {
+  if (node.balancer_.is_answered(context.handle)) return false;
+  if (context.client_socket < 0 || !peer_has_closed(context.client_socket)) return true;
+  node.balancer_.client_gone(context.handle);
   return false;
 }
 
-// What a hand-off does; nothing where it can't be.
-std::function<void()> ClientConnection::prepare_hand_off(Node& node, const std::shared_ptr<InvocationContext>& work, const core::Instruction& step) {
+// Returns the function that runs the hand-off and reports how it ended, or nothing where the hand-off can't
+// be started.
+std::function<void()> ClientConnection::prepare_hand_off(Node& node,
+                                                         const std::shared_ptr<InvocationContext>& context,
+                                                         const core::Instruction& instruction) {
   ++node.counters_.handed_off;
   try {
-    const auto exchange = std::make_shared<Exchange>(node.pool_, node.counters_, node.bytes_, work->request_config->connect_timeout);
-    work->exchanges.resize(static_cast<std::size_t>(step.number) + 1);
-    work->exchanges.back() = exchange;
-    const auto target = node.directory_.find(step.backend);
+    const auto exchange = std::make_shared<Exchange>(node.pool_, node.counters_, node.bytes_,
+                                                     context->request_config->connect_timeout);
+    context->exchanges.resize(static_cast<std::size_t>(instruction.number) + 1);
+    context->exchanges.back() = exchange;
+    const auto target = node.directory_.find(instruction.backend);
     if (!target) return {};
-    SendConditions begins;
-    if (step.begin_by != INT64_MAX) begins.send_by = node.clock_.at(step.begin_by);
-    begins.may_send = [&node, work, backend = step.backend, instance_id = target->instance_id] {
-      return node.directory_.is_still_running(backend, instance_id) && is_still_wanted(node, *work);
+    SendConditions conditions;
+    if (instruction.begin_by != INT64_MAX) conditions.send_by = node.clock_.at(instruction.begin_by);
+    conditions.may_send = [&node, context, backend = instruction.backend, instance_id = target->instance_id] {
+      return node.directory_.is_still_running(backend, instance_id) && is_still_wanted(node, *context);
+    };
+    conditions.answer_progressed = [&node, context, number = instruction.number] {
+      node.balancer_.answer_progressed(context->handle, number);
     };
-    begins.answer_progressed = [&node, work, number = step.number] { node.balancer_.answer_progressed(work->ticket, number); };
-    return [=, &node, number = step.number, until = node.clock_.at(step.until)] {
-      const TimePoint begun = TimePoint::clock::now();
-      ExchangeResult ended = ExchangeResult::cut_after_sent;  // where it broke is not known then, so it may have run
+    return [=, &node, number = instruction.number, until = node.clock_.at(instruction.until)] {
+      const TimePoint started_at = TimePoint::clock::now();
+      // An exception does not show how far the hand-off came, so the backend may have run it.
+      ExchangeResult result = ExchangeResult::cut_after_sent;
       try {
-        ended = exchange->run(work->request, *target, until, work->has_streaming_body ? &work->flow : nullptr, begins);
-      } catch (const std::exception& broke) {
-        log::error("exchange: {}", broke.what());
+        result = exchange->run(context->request, *target, until,
+                               context->has_streaming_body ? &context->streamed_body : nullptr, conditions);
+      } catch (const std::exception& failure) {
+        log::error("exchange: {}", failure.what());
       }
-      trace_hand_off(*work, number, *target, begun, *exchange, ended);
-      finish_hand_off(node, *work, number, ended);
+      trace_hand_off(*context, number, *target, started_at, *exchange, result);
+      finish_hand_off(node, *context, number, result);
     };
-  } catch (const std::exception& broke) {
-    log::error("hand-off: {}", broke.what());
+  } catch (const std::exception& failure) {
+    log::error("hand-off: {}", failure.what());
     return {};
   }
 }
 
+// Writes an answer or a part of an answer. False: the client did not take it in time, or closed; the
+// connection is over.
 bool ClientConnection::write(std::string head, std::string_view body) {
-  const auto limit = [] { return TimePoint::clock::now() + kWriteTimeout; };
+  const auto deadline = [] { return TimePoint::clock::now() + kWriteTimeout; };
   const TimePoint now = TimePoint::clock::now();
   arrival_.no_bytes_until(now);
-  IoResult io = write_head_and_body(fd_.get(), std::move(head), body.substr(0, kMaxWriteBytes), now + kWriteTimeout);
-  for (std::size_t at = kMaxWriteBytes; io == IoResult::done && at < body.size(); at += kMaxWriteBytes)
-    io = write_all(fd_.get(), body.substr(at, kMaxWriteBytes), limit());
+  IoResult io =
+      write_head_and_body(fd_.get(), std::move(head), body.substr(0, kMaxWriteBytes), now + kWriteTimeout);
+  for (std::size_t offset = kMaxWriteBytes; io == IoResult::done && offset < body.size();
+       offset += kMaxWriteBytes)
+    io = write_all(fd_.get(), body.substr(offset, kMaxWriteBytes), deadline());
   if (io == IoResult::done) return note_empty_after_write(now), true;
   ++node_.counters_.answers_unread;
   close_reason_ = CloseReason::answer_cut;
   return false;
 }
 
-// A client that takes long to read its answer asks again after it, not after its begin.
-void ClientConnection::note_empty_after_write(TimePoint write_begun) {
+// A client that reads its answer slowly sends its next request after the end of the answer, not after its
+// begin. So the socket is checked again after a long write.
+void ClientConnection::note_empty_after_write(TimePoint write_started_at) {
   const TimePoint now = TimePoint::clock::now();
-  if (now - write_begun <= core::ArrivalEstimate::kCheckInterval) return;
+  if (now - write_started_at <= core::ArrivalEstimate::kCheckInterval) return;
   if (is_open_and_empty(fd_.get())) arrival_.no_bytes_until(now);
 }
 
+// Writes a whole answer of this node's own. False: the connection is over.
 bool ClientConnection::reply(int status, std::string_view text, bool keep_alive, std::string_view headers) {
-  return write(format_response_head(status, kTextPlain, text.size(), keep_alive, headers), text) && keep_alive;
+  return write(format_response_head(status, kTextPlain, text.size(), keep_alive, headers), text) &&
+         keep_alive;
 }
 
 }  // namespace troutstage::net
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -1,4 +1,5 @@
-// One client's connection: its requests, one after another, and their answers.
+// One accepted connection of a client: reads its requests one after another, has the balancer decide on their
+// hand-offs, runs these and writes the answers.
 #pragma once
 
 #include <optional>
@@ -10,72 +11,104 @@
 
 namespace troutstage::net {
 
+// Used by one thread at a time: by the thread that serves a request, or by the thread of IdleConnections.
+// Only cancel() and is_still_wanted() of its invocations run on other threads.
 class ClientConnection {
  public:
-  ClientConnection(Node& node, Fd fd, bool has_place, const core::ArrivalEstimate& arrival);
+  ClientConnection(Node& node, Fd fd, bool is_within_budget, const core::ArrivalEstimate& arrival);
   ~ClientConnection();
   int fd() const { return fd_.get(); }
-  core::ArrivalEstimate& arrival() { return arrival_; }  // of its next request; for whoever waits for that
-  // Serves the request that has come, and what follows on it at once; what the connection waits for then.
-  // Nothing: it is over.
+  // Estimates when the next request arrives. IdleConnections reports its checks of the socket here while no
+  // thread serves the connection.
+  core::ArrivalEstimate& arrival() { return arrival_; }
+  // Reads and answers the request that has arrived, and further ones where the client sends them right after
+  // a rejection. Blocks until the answer is written. Returns what the connection waits for then, or nothing
+  // where the connection is over and only has to be destroyed.
   std::optional<IdleConnections::WaitsFor> serve();
-  void reject_unread();   // the same where no thread is to be had: it blocks on nothing
-  bool discard_unread();  // some of what came after the last answer; false: it is over
-  void set_close_reason(CloseReason why) { close_reason_ = why; }  // should it end now
+  // Answers 503 without reading the request, where no thread is available to serve it. Does not block.
+  void reject_unread();
+  // Discards a part of what the client sent after its last answer. False: the client closed, or sent too
+  // much; the connection is over.
+  bool discard_unread();
+  // The reason that is counted and logged if the connection is destroyed before it serves another request.
+  void set_close_reason(CloseReason why) { close_reason_ = why; }
 
  private:
-  struct InvocationContext;  // what the hand-offs of one invocation share
+  // State of one invocation that all its hand-offs share. It outlives the connection's use of it where a
+  // hand-off is still running.
+  struct InvocationContext;
 
-  std::optional<IdleConnections::WaitsFor> serve_one();
-  std::optional<IdleConnections::WaitsFor> refuse(const BadRequest& bad);
-  static BadRequest attribute_cut(const Node::ActiveRead& reading, const BadRequest& bad);
+  std::optional<IdleConnections::WaitsFor> serve_request();
+  std::optional<IdleConnections::WaitsFor> refuse(const BadRequest& refusal);
+  static BadRequest attribute_cut(const Node::ActiveRead& active_read, const BadRequest& refusal);
   bool is_node_path(const Request& request);
-  bool wanted(InvocationContext& work, BadRequest& bad);
-  bool answer(const std::shared_ptr<InvocationContext>& work, TenthsOfMs arrived);
-  bool forward_answer(const InvocationContext& work, Exchange& exchange, bool keep);
-  ReadResult next_answer_piece(const InvocationContext& work, Exchange& exchange, std::string& piece);
+  bool resolve_workload(InvocationContext& context, BadRequest& refusal);
+  bool answer(const std::shared_ptr<InvocationContext>& context, TenthsOfMs arrived);
+  bool forward_answer(const InvocationContext& context, Exchange& exchange, bool keep_open);
+  ReadResult next_answer_piece(const InvocationContext& context, Exchange& exchange, std::string& piece);
   void note_rest_unsent(const Body& remaining_body);
-  ReadResult next_body_piece(InvocationContext& work, std::string& piece);
-  void set_reset_on_close(bool resets);
+  ReadResult next_body_piece(InvocationContext& context, std::string& piece);
+  void set_reset_on_close(bool is_enabled);
+  // When the last byte of a request arrived.
   struct LastByte {
-    TimePoint came;
-    bool by_system = false;  // what that is taken from; else from the looks at the connection
-    std::optional<std::chrono::milliseconds> reported_ago;  // what the system said, whether or not it is used
+    TimePoint arrived_at;
+    // `arrived_at` is based on the time that the system reported; otherwise on the checks of the socket
+    // alone.
+    bool is_by_system_time = false;
+    // How long before this call the last bytes arrived, as the system reports, whether or not `arrived_at`
+    // uses it.
+    std::optional<std::chrono::milliseconds> reported_ago;
   };
   LastByte last_byte() const;
-  void note_times(InvocationContext& work);
-  void note_contradiction(const InvocationContext& work);
-  void note_disconnect(const InvocationContext& work) const;
-  void note_late_reading(const InvocationContext& work);
-  static void note_cut_answer(const InvocationContext& work, std::string_view why, TimePoint begun, TimePoint last_piece, std::size_t bytes);
-  static void trace_flow(const InvocationContext& work, std::string_view stage, std::string_view how, std::size_t bytes);
-  bool invoke(const std::shared_ptr<InvocationContext>& work, TenthsOfMs arrived);
-  bool end(const InvocationContext& work, const core::Instruction& step, bool keep);
-  void trace_answer(const InvocationContext& work, std::string_view how, TenthsOfMs arrived) const;
-  static void cancel(const InvocationContext& work, int number);
-  static void finish_hand_off(Node& node, const InvocationContext& work, int number, ExchangeResult ended);
-  static void trace_hand_off(const InvocationContext& work, int number, const Target& target, TimePoint begun, const Exchange& exchange, ExchangeResult ended);
-  static bool is_still_wanted(Node& node, const InvocationContext& work);
-  static std::function<void()> prepare_hand_off(Node& node, const std::shared_ptr<InvocationContext>& work, const core::Instruction& step);
-  void hand_off(const std::shared_ptr<InvocationContext>& work, const core::Instruction& step);
+  void note_times(InvocationContext& context);
+  void note_contradiction(const InvocationContext& context);
+  void note_disconnect(const InvocationContext& context) const;
+  void note_late_reading(const InvocationContext& context);
+  static void note_cut_answer(const InvocationContext& context, std::string_view why, TimePoint started_at,
+                              TimePoint last_piece_at, std::size_t forwarded_bytes);
+  static void trace_forwarding(const InvocationContext& context, std::string_view stage, std::string_view how,
+                               std::size_t forwarded_bytes);
+  bool invoke(const std::shared_ptr<InvocationContext>& context, TenthsOfMs arrived);
+  bool send_final_answer(const InvocationContext& context, const core::Instruction& instruction,
+                         bool keep_open);
+  void trace_answer(const InvocationContext& context, std::string_view how, TenthsOfMs arrived) const;
+  static void cancel(const InvocationContext& context, int number);
+  static void finish_hand_off(Node& node, const InvocationContext& context, int number,
+                              ExchangeResult result);
+  static void trace_hand_off(const InvocationContext& context, int number, const Target& target,
+                             TimePoint started_at, const Exchange& exchange, ExchangeResult result);
+  static bool is_still_wanted(Node& node, const InvocationContext& context);
+  static std::function<void()> prepare_hand_off(Node& node, const std::shared_ptr<InvocationContext>& context,
+                                                const core::Instruction& instruction);
+  void hand_off(const std::shared_ptr<InvocationContext>& context, const core::Instruction& instruction);
   bool write(std::string head, std::string_view body);
-  void note_empty_after_write(TimePoint write_begun);
+  void note_empty_after_write(TimePoint write_started_at);
   bool reply(int status, std::string_view text, bool keep_alive, std::string_view headers = "");
 
   Node& node_;
-  const std::uint64_t id_;  // of the connection, in the log
+  // Identifies the connection in the log.
+  const std::uint64_t id_;
   Fd fd_;
   core::ArrivalEstimate arrival_;
   Reader reader_;
   const TimePoint connected_ = TimePoint::clock::now();
-  bool is_first_request_ = true;         // no request has been read yet
-  std::size_t answered_count_ = 0;  // requests
-  bool was_rejected_ = false;     // its last request was
-  bool may_keep_alive_ = true;         // false: this request is the last one
-  bool can_detect_disconnect_ = true;  // an end of its sending is the client's own
-  bool is_reset_on_close_ = false;       // its last answer broke where only a reset shows it
+  // No request has been read on this connection yet.
+  bool is_first_request_ = true;
+  // Answers after which the connection stayed open.
+  std::size_t answered_count_ = 0;
+  // The last request was rejected by the balancer.
+  bool was_rejected_ = false;
+  // False: the connection closes after the answer to the present request.
+  bool may_keep_alive_ = true;
+  // An end of input can only come from the client: this node did not shut down the reading side itself.
+  bool can_detect_disconnect_ = true;
+  // The last answer was cut short and has no length and no chunks: close() has to send a reset, since an
+  // orderly close would look like the end of the answer.
+  bool is_reset_on_close_ = false;
   CloseReason close_reason_ = CloseReason::by_client;
-  const bool is_within_budget_;      // else its one request is turned away
+  // The connection counts against the budget of client connections. False: its only request is rejected with
+  // 503.
+  const bool is_within_budget_;
   std::size_t discarded_bytes_ = 0;
 };
 
--- a/src/net/closing.h
+++ b/src/net/closing.h
@@ -1,4 +1,4 @@
-// Why a client's connection ended, as one value for the log and the counters.
+// Why a client's connection was closed, as one value for the log and the counters.
 #pragma once
 
 #include <array>
@@ -7,14 +7,22 @@
 namespace troutstage::net {
 
 enum class CloseReason {
-  by_client,    // it ended or broke it, between requests or before its answer
-  idle,         // nothing came on it for as long as it may stay
-  room,         // closed to make room for others
-  stopping,     // this node stops or drains
-  last_answer,  // its last answer said that it would be
-  bad_request,  // what came on it can't be told apart any more
-  answer_cut,   // an answer could not be written, or not to its end
+  // the client closed or reset it, between requests or before its answer
+  by_client,
+  // nothing arrived on it for as long as it may be idle
+  idle,
+  // closed to free capacity for other connections
+  room,
+  // this node shuts down or drains
+  stopping,
+  // its last answer announced the close
+  last_answer,
+  // a request was refused, and the next one can't be found or would be refused too
+  bad_request,
+  // an answer could not be written, or not to its end
+  answer_cut,
 };
+// Names in the log and in the counters, in the order of CloseReason.
 inline constexpr std::array<std::string_view, 7> kCloseReasonNames = {
     "by_client", "idle", "room", "stopping", "last_answer", "bad_request", "answer_cut"};
 
--- a/src/net/counters.h
+++ b/src/net/counters.h
@@ -1,4 +1,4 @@
-// What a node took in, handed off and answered.
+// Counters of what a node accepted, handed off and answered, and the snapshots made of them.
 #pragma once
 
 #include <array>
@@ -16,13 +16,15 @@
 
 namespace troutstage::net {
 
-// Final answers of one workload, also of what this node has no place for. They belong to its name: one that a
-// reload takes away and another brings back counts on.
+// Final answers of one workload, including requests that this node had no capacity for. Counted by the
+// workload's name: a workload that a reload removes and another reload adds again continues its counts.
 struct AnswerCounts {
   std::atomic<std::uint64_t> succeeded{0}, rejected{0}, given_up{0};
 };
+// The AnswerCounts of all workloads that were ever configured, by name. May be used from any thread.
 class AnswerCountsByWorkload {
  public:
+  // The counters of this workload; creates them at the first call.
   std::shared_ptr<AnswerCounts> of(const std::string& workload);
   std::map<std::string, std::shared_ptr<AnswerCounts>> all() const;
 
@@ -31,47 +33,70 @@
   std::map<std::string, std::shared_ptr<AnswerCounts>> all_;
 };
 
-// What a node shows of itself at one moment.
+// A snapshot of a node's metrics, for the admin endpoint.
 struct NodeMetrics {
   struct WorkloadAnswers {
     std::uint64_t succeeded = 0, rejected = 0, given_up = 0;
   };
   std::map<std::string, WorkloadAnswers> by_workload;
-  std::uint64_t written = 0, open = 0;  // hand-offs whose last byte is out; invocations not ended
-  std::size_t listed = 0, avoided = 0;  // backends
+  // Hand-offs whose last byte was written, and invocations that have not ended.
+  std::uint64_t written = 0, open = 0;
+  // Numbers of backends: in the list, and of these the backends that get no hand-offs at present.
+  std::size_t listed = 0, avoided = 0;
   std::uint64_t reloads = 0, reloads_failed = 0;
 };
 
+// All counters of a node. Any thread may count. A member that text() writes out has the same name there.
 struct Counters {
   using Count = std::atomic<std::uint64_t>;
-  // Every invocation taken ends as one of the five below it, or is still held.
-  Count taken{0}, open{0};  // open: taken, and its answer not yet written whole
+  // Every accepted invocation ends in exactly one of the five counters below `taken`, or is still held.
+  // `open`: accepted, and the answer is not yet completely written.
+  Count taken{0}, open{0};
   Count succeeded{0}, rejected{0}, given_up{0}, client_gone{0}, broke_inside{0};
-  // Every hand-off ends in one of the ways of Ended, or is still out.
-  Count handed_off{0}, written{0};  // to a thread; with its last byte to a backend
+  // `handed_off`: given to a thread. `written`: the last byte was written to a backend. Every hand-off ends
+  // with one ExchangeResult, or is still in flight.
+  Count handed_off{0}, written{0};
   std::array<Count, kExchangeResultNames.size()> ended{};
   Count connections_taken{0}, accepts_failed{0}, connections_opened{0}, turned_off_full{0},
       turned_off_stopping{0}, answers_unread{0}, answers_cut{0}, bodies_flowed{0}, answers_flowed{0};
-  std::array<Count, kRequestErrorNames.size()> bad{};  // requests, by what is wrong with them
-  std::array<Count, kCloseReasonNames.size()> closed{};  // clients' connections, by why
-  Count broke_inside_threads{0};  // the node's own, begun again
-  Count held_up{0}, held_up_longest_ms{0};  // times that the process stood still for 50 ms or longer
-  Count read_late{0};  // requests that were read, as far as is known, 20 ms or longer after their last byte
-  Count arrivals_by_system{0}, arrivals_by_looks{0};  // requests, by what their arrival is taken from
-  Count system_times_checks{0};  // of whether the system's word on them is true: one, once a client's connection offers it
-  Count system_times_contradicted{0};  // requests of whose last byte the system said what the looks at its connection exclude
-  Count left_at_limit{0};  // clients that left unanswered within 0.1 s of their limit, or later
-  Count watches{0}, watches_failed{0}, watches_silent{0};  // begun; ended by anything but an answer; of those, silent
-  std::atomic<std::int64_t> list_received_at_ms{-1};  // of the steady clock, in ms: when discovery last answered with a list; -1: never
+  // Refused requests, by RequestError.
+  std::array<Count, kRequestErrorNames.size()> bad{};
+  // Clients' connections that were closed, by CloseReason.
+  std::array<Count, kCloseReasonNames.size()> closed{};
+  // The node's own threads that ended with an exception and were restarted.
+  Count broke_inside_threads{0};
+  // Stalls: pauses of the process of 50 ms or longer, and the longest of them.
+  Count held_up{0}, held_up_longest_ms{0};
+  // Requests that were read, as far as is known, 20 ms or longer after their last byte arrived.
+  Count read_late{0};
+  // Requests, by the source of their arrival time: the system's times, or the checks of the socket alone.
+  Count arrivals_by_system{0}, arrivals_by_looks{0};
+  // Checks of whether the system's times are correct: one check, made when the first client's connection has
+  // such times.
+  Count system_times_checks{0};
+  // Requests for which the time reported by the system contradicts the checks of the socket.
+  Count system_times_contradicted{0};
+  // Clients that disconnected without an answer within 0.1 s of their time limit, or later.
+  Count left_at_limit{0};
+  // Discovery polls: started; ended by anything but an answer; and of these, without any response.
+  Count watches{0}, watches_failed{0}, watches_silent{0};
+  // When discovery last answered with a list, in ms of the steady clock; -1: never.
+  std::atomic<std::int64_t> list_received_at_ms{-1};
   Count reloads{0}, reloads_failed{0};
   AnswerCountsByWorkload answers;
 
-  void record_stall(std::chrono::milliseconds span);
+  // Counts and logs a stall of the process.
+  void record_stall(std::chrono::milliseconds duration);
+  // Notes that discovery answered with a list now.
   void record_list();
-  std::int64_t list_age_ms() const;  // -1: none has come yet
-  void count(ExchangeResult how) { ++ended[static_cast<std::size_t>(how)]; }
+  // Age of the last list from discovery, in ms; -1: no list yet.
+  std::int64_t list_age_ms() const;
+  // Counts how a hand-off ended.
+  void count(ExchangeResult result) { ++ended[static_cast<std::size_t>(result)]; }
+  // The sum of `bad`.
   std::uint64_t bad_requests() const;
-  std::string text() const;  // a line for each: its name and figure
+  // One line for each counter: its name, a space, its value.
+  std::string text() const;
 };
 
 }  // namespace troutstage::net
--- a/src/net/lobby.cpp
+++ b/src/net/lobby.cpp
@@ -16,222 +16,256 @@
 namespace troutstage::net {
 namespace {
 
-// How long a connection may stay. A client that says nothing has to be let go within three seconds of its
-// connecting; after a request it has come to stay for a while.
+// How long a connection may wait, by WaitsFor. A client that connects and sends nothing has to be closed
+// within three seconds; a client that has sent a request is likely to send more.
 constexpr std::chrono::milliseconds kMaxIdle[] = {std::chrono::milliseconds(2000), std::chrono::seconds(2),
-                                               std::chrono::seconds(8), std::chrono::milliseconds(1000)};
-constexpr std::chrono::milliseconds kExpiryCheckInterval{100};      // how exactly that is kept
-constexpr std::size_t kMaxEvents = 64;              // that one look brings
-constexpr std::chrono::milliseconds kRetryInterval{2};    // to have a socket monitored, or a request served
-constexpr std::chrono::milliseconds kThreadWaitLimit{200};  // with a shortage of threads
+                                                  std::chrono::seconds(8), std::chrono::milliseconds(1000)};
+// How often the connections are checked for expiry.
+constexpr std::chrono::milliseconds kExpiryCheckInterval{100};
+// Events that one epoll_wait call can return.
+constexpr std::size_t kMaxEvents = 64;
+// Delay before the next try to monitor a socket, or to find a thread for a request.
+constexpr std::chrono::milliseconds kRetryInterval{2};
+// How long a request may wait for a thread before it is rejected.
+constexpr std::chrono::milliseconds kThreadWaitLimit{200};
 
 }  // namespace
 
-IdleConnections::IdleConnections(StartServing ready, const MaxWaiting& most, OnStall gap)
-    : start_serving_(std::move(ready)), max_waiting_(most), on_stall_(std::move(gap)), poll_(new_epoll_fd()), wake_(new_event_fd()) {
-  if (!retry_on_shortage("epoll_ctl", [this] { return set_epoll_events(poll_.get(), wake_.get(), EPOLLIN, 0); }))
-    throw std::system_error(errno, std::generic_category(), "can't watch idle clients");
+IdleConnections::IdleConnections(StartServing start_serving, const MaxWaiting& max_waiting, OnStall on_stall)
+    : start_serving_(std::move(start_serving)), max_waiting_(max_waiting), on_stall_(std::move(on_stall)),
+      epoll_(new_epoll_fd()), wake_event_(new_event_fd()) {
+  if (!retry_on_shortage("epoll_ctl",
+                         [this] { return set_epoll_events(epoll_.get(), wake_event_.get(), EPOLLIN, 0); }))
+    throw std::system_error(errno, std::generic_category(), "cannot monitor idle clients");
 }
 
 void IdleConnections::run() {
-  TimePoint next_look;
-  for (TimePoint last_round = TimePoint::clock::now(); !stopped_;) {
+  TimePoint next_expiry_check;
+  for (TimePoint last_round = TimePoint::clock::now(); !is_stopped_;) {
     std::array<epoll_event, kMaxEvents> events{};
-    const auto wait = has_unmonitored_ || has_unserved_ ? kRetryInterval : core::ArrivalEstimate::kCheckInterval;
-    const int n = ::epoll_wait(poll_.get(), events.data(), static_cast<int>(events.size()),
-                               static_cast<int>(wait.count()));
+    const auto timeout =
+        has_unmonitored_ || has_unserved_ ? kRetryInterval : core::ArrivalEstimate::kCheckInterval;
+    const int event_count = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()),
+                                         static_cast<int>(timeout.count()));
     const int error = errno;
-    if (n < 0 && classify_errno(error) == ErrorClass::other)
-      return log::error("idle clients are watched no more: error {}", error);
-    if (n < 0 && classify_errno(error) == ErrorClass::shortage) std::this_thread::sleep_for(kRetryInterval);
+    if (event_count < 0 && classify_errno(error) == ErrorClass::other)
+      return log::error("monitoring of idle clients ended: epoll_wait failed with error {}", error);
+    if (event_count < 0 && classify_errno(error) == ErrorClass::shortage)
+      std::this_thread::sleep_for(kRetryInterval);
     const TimePoint now = TimePoint::clock::now();
     report_stall(now - std::exchange(last_round, now));
-    for (int i = 0; i < n; ++i) {
+    for (int i = 0; i < event_count; ++i) {
       const std::uint64_t id = events[static_cast<std::size_t>(i)].data.u64;
       if (id != 0) on_event(id, now);
-      else clear_event(wake_);
+      else clear_event(wake_event_);
     }
-    // One that failed, or had no room for all, says nothing of those that it does not name; nor does one that found nothing
-    // where a second call does.
-    if (n >= 0 && n < static_cast<int>(kMaxEvents) && !(n == 0 && polls_readable(poll_.get()))) note_poll(now);
+    // Only a call of epoll_wait that succeeded and did not fill the array says that the other connections
+    // have no bytes. A call that returned nothing counts only if a second call agrees.
+    if (event_count >= 0 && event_count < static_cast<int>(kMaxEvents) &&
+        !(event_count == 0 && polls_readable(epoll_.get())))
+      note_poll(now);
     if (has_unmonitored_) retry_monitoring();
     if (has_unserved_) retry_serving();
-    if (now >= next_look) {
-      next_look = now + kExpiryCheckInterval;
+    if (now >= next_expiry_check) {
+      next_expiry_check = now + kExpiryCheckInterval;
       close_expired();
     }
   }
 }
 
-void IdleConnections::report_stall(TimePoint::duration gap) const {
-  if (on_stall_ && gap > core::ArrivalEstimate::kMaxCheckGap) on_stall_(std::chrono::duration_cast<std::chrono::milliseconds>(gap));
+void IdleConnections::report_stall(TimePoint::duration duration) const {
+  if (on_stall_ && duration > core::ArrivalEstimate::kMaxCheckGap)
+    on_stall_(std::chrono::duration_cast<std::chrono::milliseconds>(duration));
 }
 
 void IdleConnections::note_poll(TimePoint now) {
-  std::lock_guard held(lock_);
-  monitor_checks_.found_no_bytes(now);
+  std::lock_guard lock(lock_);
+  epoll_checks_.found_no_bytes(now);
   ++checks_done_;
 }
 
 void IdleConnections::stop() {
-  stopped_ = true;
-  signal_event(wake_);
+  is_stopped_ = true;
+  signal_event(wake_event_);
 }
 
-// What the monitor still can't take is looked at here: what has come on it would wait for as long as that lasts.
+// Checks the connections that epoll still can't monitor, and tries to add them again: without the check a
+// request on such a connection would wait for as long as the shortage lasts.
 void IdleConnections::retry_monitoring() {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   for (const std::uint64_t id : std::set(unmonitored_)) {
-    const auto at = connections_.find(id);
-    if (at != connections_.end() && !start_monitoring(id, at->second)) check_unmonitored(at);
+    const auto entry = connections_.find(id);
+    if (entry != connections_.end() && !start_monitoring(id, entry->second)) check_unmonitored(entry);
     else unmonitored_.erase(id);
   }
   has_unmonitored_ = !unmonitored_.empty();
 }
 
-// With the lock held.
-void IdleConnections::check_unmonitored(ConnectionMap::iterator at) {
-  const PeekResult unread = peek_socket(at->second.client->fd());
+// Called with lock_ held.
+void IdleConnections::check_unmonitored(ConnectionMap::iterator entry) {
+  const PeekResult unread = peek_socket(entry->second.client->fd());
   const TimePoint now = TimePoint::clock::now();
-  if (unread == PeekResult::none && polls_unreadable(at->second.client->fd())) at->second.client->arrival().found_no_bytes(now);
-  else if (unread != PeekResult::none && unread != PeekResult::unknown) on_readable(at, now);
+  if (unread == PeekResult::none && polls_unreadable(entry->second.client->fd()))
+    entry->second.client->arrival().found_no_bytes(now);
+  else if (unread != PeekResult::none && unread != PeekResult::unknown) on_readable(entry, now);
 }
 
+// Tries again to find a thread for each connection that has a request.
 void IdleConnections::retry_serving() {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   for (const std::uint64_t id : std::set(unserved_))
-    if (const auto at = connections_.find(id); at != connections_.end()) serve_or_close(at, CloseReason::by_client);
+    if (const auto entry = connections_.find(id); entry != connections_.end())
+      serve_or_close(entry, CloseReason::by_client);
   has_unserved_ = !unserved_.empty();
 }
 
-void IdleConnections::add(std::shared_ptr<ClientConnection> client, WaitsFor wait) {
-  std::lock_guard held(lock_);
-  add_locked(std::move(client), wait);
+void IdleConnections::add(std::shared_ptr<ClientConnection> client, WaitsFor waits_for) {
+  std::lock_guard lock(lock_);
+  add_locked(std::move(client), waits_for);
 }
 
-// With the lock held.
-void IdleConnections::add_locked(std::shared_ptr<ClientConnection> client, WaitsFor wait) {
-  // Hundreds that connect and say nothing, or ask once and stay, must not take the places of those that ask:
-  // a client that may have only so many connections could open no other for as long as all of them were kept.
-  if (++waiting_[static_cast<std::size_t>(wait)] > max_waiting_[static_cast<std::size_t>(wait)]) {
-    const auto oldest = std::find_if(connections_.begin(), connections_.end(),
-                                     [wait](const auto& waiting) { return waiting.second.wait == wait; });
+// Called with lock_ held.
+void IdleConnections::add_locked(std::shared_ptr<ClientConnection> client, WaitsFor waits_for) {
+  // Hundreds of clients that connect and send nothing, or send one request and stay connected, must not use
+  // up the connections of active clients: a client that may have only a limited number of connections could
+  // open no other while all of the idle ones were kept.
+  if (++waiting_[static_cast<std::size_t>(waits_for)] > max_waiting_[static_cast<std::size_t>(waits_for)]) {
+    const auto oldest =
+        std::find_if(connections_.begin(), connections_.end(),
+                     [waits_for](const auto& waiting) { return waiting.second.waits_for == waits_for; });
     if (oldest != connections_.end()) serve_or_close(oldest, CloseReason::room);
   }
   const TimePoint now = TimePoint::clock::now();
   const std::uint64_t id = next_id_++;
-  const auto at =
-      connections_.emplace(id, WaitingConnection{std::move(client), wait, now, now + kMaxIdle[static_cast<std::size_t>(wait)], {}}).first;
-  if (start_monitoring(id, at->second)) return;
-  // Never looked at, a request on it would be found at the connection's end only.
+  const auto entry =
+      connections_
+          .emplace(
+              id,
+              WaitingConnection{
+                  std::move(client), waits_for, now, now + kMaxIdle[static_cast<std::size_t>(waits_for)], {}})
+          .first;
+  if (start_monitoring(id, entry->second)) return;
+  // Without epoll, a request on this connection would only be found at the connection's end; so run() checks
+  // the socket itself.
   unmonitored_.insert(id);
   has_unmonitored_ = true;
-  signal_event(wake_);
-}
-
-// With the lock held.
-void IdleConnections::serve_or_close(ConnectionMap::iterator at, CloseReason why) {
-  const int fd = at->second.client->fd();
-  const bool was_told_last = at->second.wait == WaitsFor::peer_close;
-  const PeekResult unread = was_told_last ? PeekResult::none : peek_socket(fd);
-  const bool seems_to_have_come = why == CloseReason::by_client && !was_told_last;
-  if (seems_to_have_come && unread == PeekResult::none && polls_unreadable(fd)) at->second.client->arrival().found_no_bytes(TimePoint::clock::now());
-  if (seems_to_have_come ? unread == PeekResult::none : unread == PeekResult::unknown) return;
-  if (unread == PeekResult::bytes) note_bytes(at->second, TimePoint::clock::now());
-  const std::uint64_t id = at->first;
-  WaitingConnection gone = std::move(at->second);
+  signal_event(wake_event_);
+}
+
+// Called with lock_ held.
+void IdleConnections::serve_or_close(ConnectionMap::iterator entry, CloseReason reason) {
+  const int fd = entry->second.client->fd();
+  const bool has_last_answer = entry->second.waits_for == WaitsFor::peer_close;
+  const PeekResult unread = has_last_answer ? PeekResult::none : peek_socket(fd);
+  const bool is_assumed_readable = reason == CloseReason::by_client && !has_last_answer;
+  if (is_assumed_readable && unread == PeekResult::none && polls_unreadable(fd))
+    entry->second.client->arrival().found_no_bytes(TimePoint::clock::now());
+  if (is_assumed_readable ? unread == PeekResult::none : unread == PeekResult::unknown) return;
+  if (unread == PeekResult::bytes) note_bytes(entry->second, TimePoint::clock::now());
+  const std::uint64_t id = entry->first;
+  WaitingConnection removed = std::move(entry->second);
   unmonitored_.erase(id);
   unserved_.erase(id);
-  connections_.erase(at);
-  remove_from_epoll(poll_.get(), fd);
-  --waiting_[static_cast<std::size_t>(gone.wait)];
-  const bool is_over = unread == PeekResult::ended || unread == PeekResult::broken;
-  gone.client->set_close_reason(is_over ? CloseReason::by_client : was_told_last ? CloseReason::last_answer : why);
-  // A request that has come is answered, whatever the connection was to leave for.
-  if (is_over || unread == PeekResult::none || start_serving_(gone.client)) return;
+  connections_.erase(entry);
+  remove_from_epoll(epoll_.get(), fd);
+  --waiting_[static_cast<std::size_t>(removed.waits_for)];
+  const bool has_ended = unread == PeekResult::ended || unread == PeekResult::broken;
+  removed.client->set_close_reason(has_ended         ? CloseReason::by_client
+                                   : has_last_answer ? CloseReason::last_answer
+                                                     : reason);
+  // A request that has arrived is answered, whatever reason there was to close the connection.
+  if (has_ended || unread == PeekResult::none || start_serving_(removed.client)) return;
   const TimePoint now = TimePoint::clock::now();
-  const bool is_tried_again = gone.no_thread_since.has_value();
-  if (!is_tried_again) gone.no_thread_since = now;
-  if (now - *gone.no_thread_since < kThreadWaitLimit) {
-    // Not monitored: what has come would wake this thread without end.
-    ++waiting_[static_cast<std::size_t>(gone.wait)];
-    connections_.emplace(id, std::move(gone));
+  const bool is_retry = removed.no_thread_since.has_value();
+  if (!is_retry) removed.no_thread_since = now;
+  if (now - *removed.no_thread_since < kThreadWaitLimit) {
+    // The connection stays without monitoring: its unread bytes would wake the thread of run() again and
+    // again.
+    ++waiting_[static_cast<std::size_t>(removed.waits_for)];
+    connections_.emplace(id, std::move(removed));
     unserved_.insert(id);
     has_unserved_ = true;
-    if (!is_tried_again) signal_event(wake_);  // else its thread tries again soon in any case
+    if (!is_retry) signal_event(wake_event_);  // run() tries again soon in any case
     return;
   }
-  // Closed now, over a request that nobody has read, the connection would be reset and its answer lost.
-  gone.client->reject_unread();
-  add_locked(std::move(gone.client), WaitsFor::peer_close);
+  // Closing a socket with an unread request sends a reset, and the answer would be lost; so the connection
+  // waits for the client's close.
+  removed.client->reject_unread();
+  add_locked(std::move(removed.client), WaitsFor::peer_close);
 }
 
+// Adds the connection to epoll. False: the system is short of resources. Called with lock_ held.
 bool IdleConnections::start_monitoring(std::uint64_t id, WaitingConnection& waiting) {
-  if (!set_epoll_events(poll_.get(), waiting.client->fd(), EPOLLIN, id)) return false;
-  waiting.checks_before = checks_done_;
+  if (!set_epoll_events(epoll_.get(), waiting.client->fd(), EPOLLIN, id)) return false;
+  waiting.checks_before_monitoring = checks_done_;
   return true;
 }
 
-// A look that ended at `now` found something on a connection; the monitor's, of which it was part, had not. With the
-// lock held.
+// Records that a check that ended at `now` found bytes on a connection. The previous round of epoll, if it
+// covered the connection, had found none. Called with lock_ held.
 void IdleConnections::note_bytes(const WaitingConnection& waiting, TimePoint now) const {
   core::ArrivalEstimate& arrival = waiting.client->arrival();
-  // The one that was under way as its monitoring began may not have seen it.
-  const bool was_part_of_last = waiting.checks_before < UINT64_MAX && waiting.checks_before + 2 <= checks_done_;
-  if (was_part_of_last && !arrival.has_bytes()) arrival.no_bytes_until(monitor_checks_.earliest());
+  // A round that was in progress when the monitoring began may not have covered the connection, so two rounds
+  // have to be complete.
+  const bool was_in_last_check =
+      waiting.checks_before_monitoring < UINT64_MAX && waiting.checks_before_monitoring + 2 <= checks_done_;
+  if (was_in_last_check && !arrival.has_bytes()) arrival.no_bytes_until(epoll_checks_.earliest());
   arrival.found_bytes(now);
 }
 
 void IdleConnections::on_event(std::uint64_t id, TimePoint now) {
-  std::lock_guard held(lock_);
-  if (const auto at = connections_.find(id); at != connections_.end()) on_readable(at, now);
+  std::lock_guard lock(lock_);
+  if (const auto entry = connections_.find(id); entry != connections_.end()) on_readable(entry, now);
 }
 
-// Something was found on it by a look that ended at `now`. With the lock held.
-void IdleConnections::on_readable(ConnectionMap::iterator at, TimePoint now) {
-  note_bytes(at->second, now);
-  if (at->second.wait == WaitsFor::peer_close && at->second.client->discard_unread()) return;
-  serve_or_close(at, CloseReason::by_client);
+// Handles bytes, or the end of the connection, found by a check that ended at `now`. Called with lock_ held.
+void IdleConnections::on_readable(ConnectionMap::iterator entry, TimePoint now) {
+  note_bytes(entry->second, now);
+  if (entry->second.waits_for == WaitsFor::peer_close && entry->second.client->discard_unread()) return;
+  serve_or_close(entry, CloseReason::by_client);
 }
 
 void IdleConnections::close_expired() {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   const TimePoint now = TimePoint::clock::now();
-  for (auto at = connections_.begin(); at != connections_.end();) {
-    const auto next = std::next(at);
-    if (at->second.limit <= now) serve_or_close(at, CloseReason::idle);
-    at = next;
+  for (auto entry = connections_.begin(); entry != connections_.end();) {
+    const auto next = std::next(entry);
+    if (entry->second.deadline <= now) serve_or_close(entry, CloseReason::idle);
+    entry = next;
   }
 }
 
-// One that was told its last answer, else one that asked only once, else the one that has been idle the
-// longest, else one that has said nothing yet: its request may be on the way.
-bool IdleConnections::close_least_useful(bool but_new) {
-  std::lock_guard held(lock_);
-  for (const WaitsFor wait : {WaitsFor::peer_close, WaitsFor::second_request, WaitsFor::next_request, WaitsFor::first_request}) {
-    if (but_new && wait == WaitsFor::first_request) continue;
-    for (auto at = connections_.begin(); at != connections_.end(); ++at) {
-      if (at->second.wait != wait) continue;
-      const PeekResult unread = wait == WaitsFor::peer_close ? PeekResult::none : peek_socket(at->second.client->fd());
+// Prefers a connection that waits for the client's close, then a connection with one request so far, then the
+// connection that has been idle the longest, and last a connection on which the client has sent nothing yet:
+// its request may be on the way.
+bool IdleConnections::close_least_useful(bool except_new) {
+  std::lock_guard lock(lock_);
+  for (const WaitsFor waits_for :
+       {WaitsFor::peer_close, WaitsFor::second_request, WaitsFor::next_request, WaitsFor::first_request}) {
+    if (except_new && waits_for == WaitsFor::first_request) continue;
+    for (auto entry = connections_.begin(); entry != connections_.end(); ++entry) {
+      if (entry->second.waits_for != waits_for) continue;
+      const PeekResult unread =
+          waits_for == WaitsFor::peer_close ? PeekResult::none : peek_socket(entry->second.client->fd());
       if (unread == PeekResult::bytes || unread == PeekResult::unknown) continue;
-      serve_or_close(at, CloseReason::room);
+      serve_or_close(entry, CloseReason::room);
       return true;
     }
   }
   return false;
 }
 
-std::size_t IdleConnections::waiting(WaitsFor wait) {
-  std::lock_guard held(lock_);
-  return waiting_[static_cast<std::size_t>(wait)];
+std::size_t IdleConnections::waiting(WaitsFor waits_for) {
+  std::lock_guard lock(lock_);
+  return waiting_[static_cast<std::size_t>(waits_for)];
 }
 
 void IdleConnections::close_idle(bool all) {
-  std::lock_guard held(lock_);
-  for (auto at = connections_.begin(); at != connections_.end();) {
-    const auto next = std::next(at);
-    if (all || at->second.wait != WaitsFor::peer_close) serve_or_close(at, CloseReason::stopping);
-    at = next;
+  std::lock_guard lock(lock_);
+  for (auto entry = connections_.begin(); entry != connections_.end();) {
+    const auto next = std::next(entry);
+    if (all || entry->second.waits_for != WaitsFor::peer_close) serve_or_close(entry, CloseReason::stopping);
+    entry = next;
   }
 }
 
--- a/src/net/lobby.h
+++ b/src/net/lobby.h
@@ -1,5 +1,5 @@
-// The clients' connections that no thread works for: they wait here for their next request or their end, so
-// that one that is silent costs a descriptor and no more.
+// The clients' connections that no thread serves at present. They wait here, monitored by one epoll thread,
+// for their next request or their end, so that a silent connection costs a descriptor and no thread.
 #pragma once
 
 #include <array>
@@ -19,50 +19,73 @@
 
 class ClientConnection;
 
+// All public functions may be called from any thread, run() from one thread only. The constructor throws
+// std::system_error where no descriptor is available.
 class IdleConnections {
  public:
+  // What a connection waits for.
   enum class WaitsFor {
-    first_request,  // nothing has come on it yet
-    second_request,   // for a second request, which may never come
-    next_request,   // for the next one
-    peer_close     // it was told its last answer; what still comes is thrown away until it closes
+    // the first request of the connection
+    first_request,
+    // the second request, which may never come
+    second_request,
+    // a further request: the client has used the connection more than once
+    next_request,
+    // the client's close after its last answer; what still comes is discarded until then
+    peer_close
   };
-  using StartServing = std::function<bool(std::shared_ptr<ClientConnection>)>;  // false: nobody can work for it
+  // Gives a connection to a thread that serves its request. False: no thread is available.
+  using StartServing = std::function<bool(std::shared_ptr<ClientConnection>)>;
+  // The largest number of connections that may wait, by WaitsFor.
   using MaxWaiting = std::array<std::size_t, 4>;
-  // `ready` is called for each connection on which something has come, on the lobby's thread; one that it has
-  // nobody for, also after a while, is turned away here. So many may wait for each thing; beyond that the one that has waited for
-  // it the longest goes.
-  // `gap` is told, on the lobby's thread, how long each round of looks took that was not short.
+  // Receives the length of a round of checks that took longer than ArrivalEstimate::kMaxCheckGap. Called on
+  // the thread of run().
   using OnStall = std::function<void(std::chrono::milliseconds)>;
-  IdleConnections(StartServing ready, const MaxWaiting& most, OnStall gap = {});
+  // `start_serving` is called with lock_ held for each connection on which a request arrived: on the thread
+  // of run(), or in a call below that adds or closes connections. Where no thread is available, also after
+  // some retries, the request is rejected here. `max_waiting` has a limit for each value of WaitsFor; beyond
+  // the limit the connection that has waited for the same thing the longest is closed.
+  IdleConnections(StartServing start_serving, const MaxWaiting& max_waiting, OnStall on_stall = {});
 
-  void run();  // until stop()
+  // Blocks and monitors the connections until stop().
+  void run();
   void stop();
-  void add(std::shared_ptr<ClientConnection> client, WaitsFor wait);
-  // Closes the one that is the least loss; false: there is none. `but_new`: not one that has said nothing
-  // yet.
-  bool close_least_useful(bool but_new = false);
-  std::size_t waiting(WaitsFor wait);
-  void close_idle(bool all);  // else not those that are being told their last answer
+  // Takes over a connection that no thread serves.
+  void add(std::shared_ptr<ClientConnection> client, WaitsFor waits_for);
+  // Closes the connection whose loss costs least; see the definition for the order. False: there is none that
+  // may be closed. `except_new`: keeps connections on which the client has sent nothing yet.
+  bool close_least_useful(bool except_new = false);
+  // The number of connections that wait for `waits_for`.
+  std::size_t waiting(WaitsFor waits_for);
+  // Closes all connections on which no request has arrived. `all` false: not those that wait for the client's
+  // close.
+  void close_idle(bool all);
 
  private:
+  // `deadline`: the connection is closed then, if nothing arrives.
   struct WaitingConnection {
     std::shared_ptr<ClientConnection> client;
-    WaitsFor wait;
-    TimePoint since, limit;
-    std::optional<TimePoint> no_thread_since;  // its request has come, and no thread was to be had for it
-    std::uint64_t checks_before = UINT64_MAX;  // taken before it was monitored; not monitored yet: the largest number
+    WaitsFor waits_for;
+    TimePoint since, deadline;
+    // A request has arrived, but no thread has been available for it since then.
+    std::optional<TimePoint> no_thread_since;
+    // The number of checks done before the connection was monitored; the largest number while it is not
+    // monitored.
+    std::uint64_t checks_before_monitoring = UINT64_MAX;
   };
-  using ConnectionMap = std::map<std::uint64_t, WaitingConnection>;  // the oldest first
-  // Takes one out, and gives it to whom it goes: what has come on it is still looked at. Where that look
-  // fails, it stays, unless something is known to have come (`by_client`).
-  void serve_or_close(ConnectionMap::iterator at, CloseReason why);
-  void add_locked(std::shared_ptr<ClientConnection> client, WaitsFor wait);
-  void report_stall(TimePoint::duration gap) const;
+  // By id, so the oldest connection is first.
+  using ConnectionMap = std::map<std::uint64_t, WaitingConnection>;
+  // Checks the socket once more, then removes the connection: serves it if a request has arrived, else closes
+  // it for `reason`. If the check fails, the connection stays, unless bytes are known to have arrived
+  // (`reason` is by_client).
+  void serve_or_close(ConnectionMap::iterator entry, CloseReason reason);
+  // The functions below that take an iterator, and add_locked(), are called with lock_ held.
+  void add_locked(std::shared_ptr<ClientConnection> client, WaitsFor waits_for);
+  void report_stall(TimePoint::duration duration) const;
   void note_poll(TimePoint now);
   void on_event(std::uint64_t id, TimePoint now);
-  void check_unmonitored(ConnectionMap::iterator at);
-  void on_readable(ConnectionMap::iterator at, TimePoint now);
+  void check_unmonitored(ConnectionMap::iterator entry);
+  void on_readable(ConnectionMap::iterator entry, TimePoint now);
   bool start_monitoring(std::uint64_t id, WaitingConnection& waiting);
   void note_bytes(const WaitingConnection& waiting, TimePoint now) const;
   void close_expired();
@@ -72,17 +95,22 @@
   const StartServing start_serving_;
   const MaxWaiting max_waiting_;
   const OnStall on_stall_;
-  Fd poll_, wake_;
-  std::mutex lock_;  // held while `ready` is called and clients are closed: these take other locks, never the
-                     // reverse
+  Fd epoll_, wake_event_;
+  // Held while start_serving_ is called and while connections are closed. Both take other locks; no thread
+  // takes lock_ while it holds one of those.
+  std::mutex lock_;
   ConnectionMap connections_;
   std::uint64_t next_id_ = 1;
-  core::ArrivalEstimate monitor_checks_{TimePoint::clock::now()};  // the monitor's, at all that it watches
+  // The checks that epoll makes of all monitored connections together.
+  core::ArrivalEstimate epoll_checks_{TimePoint::clock::now()};
   std::uint64_t checks_done_ = 0;
-  MaxWaiting waiting_{};                     // how many wait for each thing
-  std::set<std::uint64_t> unmonitored_;  // those that the monitor could not take yet
-  std::set<std::uint64_t> unserved_;   // those for whose request no thread was to be had yet
-  std::atomic<bool> has_unmonitored_{false}, has_unserved_{false}, stopped_{false};
+  // How many connections wait, by WaitsFor.
+  MaxWaiting waiting_{};
+  // Ids of connections that epoll_ctl could not add yet.
+  std::set<std::uint64_t> unmonitored_;
+  // Ids of connections with a request for which no thread has been available yet.
+  std::set<std::uint64_t> unserved_;
+  std::atomic<bool> has_unmonitored_{false}, has_unserved_{false}, is_stopped_{false};
 };
 
 }  // namespace troutstage::net
--- a/src/net/protocol.h
+++ b/src/net/protocol.h
@@ -1,4 +1,4 @@
-// The names of our own protocol, as they stand on the sockets.
+// Header names and paths of this node's HTTP protocol, and the limits that it sets to messages.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,24 @@
 inline constexpr std::string_view kIdempotencyKeyHeader = "Idempotency-Key";
 inline constexpr std::string_view kResentHeader = "X-Resent";
 inline constexpr std::string_view kHostHeader = "Host";
-inline constexpr std::string_view kEstimateHeader = "X-Estimate";  // in microseconds
+inline constexpr std::string_view kEstimateHeader = "X-Estimate";  // expected work, in microseconds
 inline constexpr std::string_view kTurnedAwayHeader = "X-Turned-Away";
-inline constexpr std::string_view kPressureHeader = "X-Pressure";  // not read; it may hold anything
+inline constexpr std::string_view kPressureHeader = "X-Pressure";  // not read; may have any value
 inline constexpr std::string_view kReadyPath = "/up";
 inline constexpr std::string_view kCountersPath = "/counters";
 
-inline constexpr std::size_t kMaxShortAnswerBytes = 64 * 1024;         // an answer's that is kept until it is whole
-inline constexpr std::size_t kMaxBufferedRequestBytes = 256 * 1024;        // a request's that can be handed off again
-inline constexpr std::size_t kMaxBodyBytes = 32 * 1024 * 1024;  // of any
-inline constexpr std::int64_t kMinBytesPerMs = 64;           // bytes that a client sends at the least
+// Body of an answer that is buffered until it is complete; a longer answer may be forwarded while it arrives.
+inline constexpr std::size_t kMaxShortAnswerBytes = 64 * 1024;
+// Body of a request that is buffered, so that it can be handed off again; the rest of a longer body is
+// streamed.
+inline constexpr std::size_t kMaxBufferedRequestBytes = 256 * 1024;
+// Largest body of any message.
+inline constexpr std::size_t kMaxBodyBytes = 32 * 1024 * 1024;
+// The slowest rate at which a client may send a body, in bytes per millisecond.
+inline constexpr std::int64_t kMinBytesPerMs = 64;
+// Largest head of a message, including its start line.
 inline constexpr std::size_t kMaxHeadBytes = 16 * 1024;
-inline constexpr int kMaxInterimHeads = 8;  // 1xx heads before an answer
+// 1xx responses before an answer.
+inline constexpr int kMaxInterimHeads = 8;
 
 }  // namespace troutstage::net
--- a/src/net/system_times.cpp
+++ b/src/net/system_times.cpp
@@ -14,9 +14,10 @@
 
 using std::chrono::milliseconds;
 
-// Two different pauses: a constant or a clock that runs at another rate does not fit both.
+// Two different pauses: neither a constant nor a clock that runs at another rate fits both.
 constexpr milliseconds kPauses[] = {milliseconds(35), milliseconds(70)};
-constexpr milliseconds kStepTimeout{250};  // for each step of the check
+// Time limit for each step of the check.
+constexpr milliseconds kStepTimeout{250};
 
 struct Connection {
   Fd sender, receiver;
@@ -33,20 +34,22 @@
   return connection;
 }
 
-// Sends a byte, reads it, and asks after a pause how long ago it came. The bounds hold however long this thread is held up.
+// Sends a byte, reads it after a pause, and compares how long ago the byte arrived, as the system reports,
+// with this process's clock. The bounds hold however long this thread is stalled.
 bool reports_pause(const Connection& connection, milliseconds pause) {
   const TimePoint sent_after = TimePoint::clock::now();
   if (write_all(connection.sender.get(), "x", sent_after + kStepTimeout) != IoResult::done) return false;
   if (wait_readable(connection.receiver.get(), sent_after + kStepTimeout) != IoResult::done) return false;
-  const TimePoint had_come = TimePoint::clock::now();
+  const TimePoint arrived_before = TimePoint::clock::now();
   std::this_thread::sleep_for(pause);
   std::string byte;
-  if (read_some(connection.receiver.get(), byte, TimePoint::clock::now() + kStepTimeout) != IoResult::done) return false;
+  if (read_some(connection.receiver.get(), byte, TimePoint::clock::now() + kStepTimeout) != IoResult::done)
+    return false;
   const TimePoint asked_after = TimePoint::clock::now();
-  const auto told_ago = time_since_last_receive(connection.receiver.get());
-  const TimePoint told_before = TimePoint::clock::now();
-  return told_ago && *told_ago >= asked_after - had_come - kSystemTimesTolerance &&
-         *told_ago <= told_before - sent_after + kSystemTimesTolerance;
+  const auto reported_ago = time_since_last_receive(connection.receiver.get());
+  const TimePoint reported_before = TimePoint::clock::now();
+  return reported_ago && *reported_ago >= asked_after - arrived_before - kSystemTimesTolerance &&
+         *reported_ago <= reported_before - sent_after + kSystemTimesTolerance;
 }
 
 }  // namespace
@@ -58,8 +61,8 @@
     for (const milliseconds pause : kPauses)
       if (!reports_pause(connection, pause)) return false;
     return true;
-  } catch (const std::exception& broke) {
-    log::warning("the system's times can't be checked: {}", broke.what());
+  } catch (const std::exception& failure) {
+    log::warning("the check of the system's TCP_INFO times failed: {}", failure.what());
     return false;
   }
 }
--- a/src/net/terms.h
+++ b/src/net/terms.h
@@ -1,4 +1,5 @@
-// What the names in a request mean to this node at one moment: a whole that is swapped, never changed.
+// The configuration that requests are served under. A snapshot: a reload replaces it whole and never changes
+// it, so a request keeps the snapshot that was valid when it arrived.
 #pragma once
 
 #include <chrono>
@@ -12,16 +13,20 @@
 
 namespace troutstage::net {
 
-struct Offer {
+// A workload that clients may name in a request.
+struct WorkloadEntry {
   core::WorkloadRegistry::WorkloadHandle workload_handle;
   Semantics semantics = Semantics::non_idempotent;
   std::shared_ptr<AnswerCounts> answers;
 };
 
+// Immutable once it is published, so any thread may read it.
 struct RequestConfig {
-  std::map<std::string, Offer, std::less<>> workloads;
+  std::map<std::string, WorkloadEntry, std::less<>> workloads;
   IndexByName tenants;
+  // A hand-off that is in flight may be cancelled.
   bool may_cancel = false;
+  // Limit for connecting to a backend.
   std::chrono::microseconds connect_timeout{0};
 };
 
--- a/src/net/transactions.h
+++ b/src/net/transactions.h
@@ -1,4 +1,5 @@
-// The transactions that this node has open: an id that comes a second time is another client's, or a mistake.
+// The ids of the transactions that this node has open. An id that arrives again while it is open belongs to
+// another client, or is a client's mistake.
 #pragma once
 
 #include <mutex>
@@ -9,25 +10,28 @@
 
 namespace troutstage::net {
 
+// May be used from any thread.
 class OpenTransactions {
  public:
-  // Keeps an id open for as long as it lives.
+  // Marks an id as open for the lifetime of the object.
   class ScopedTransaction {
    public:
-    ScopedTransaction(OpenTransactions& all, std::string_view id) : all_(all), id_(id) {
-      std::lock_guard held(all_.lock_);
-      is_new_ = all_.ids_.insert(id_).second;
+    ScopedTransaction(OpenTransactions& transactions, std::string_view id)
+        : transactions_(transactions), id_(id) {
+      std::lock_guard lock(transactions_.lock_);
+      is_new_ = transactions_.ids_.insert(id_).second;
     }
     ~ScopedTransaction() {
-      std::lock_guard held(all_.lock_);
-      if (is_new_) all_.ids_.erase(id_);
+      std::lock_guard lock(transactions_.lock_);
+      if (is_new_) transactions_.ids_.erase(id_);
     }
     ScopedTransaction(const ScopedTransaction&) = delete;
     ScopedTransaction& operator=(const ScopedTransaction&) = delete;
+    // False: the id was open already; this object then changes nothing.
     bool is_new() const { return is_new_; }
 
    private:
-    OpenTransactions& all_;
+    OpenTransactions& transactions_;
     const std::string id_;
     bool is_new_ = false;
   };
--- a/src/net/vigil.cpp
+++ b/src/net/vigil.cpp
@@ -11,47 +11,53 @@
 
 namespace troutstage::net {
 
-DisconnectMonitor::DisconnectMonitor(core::Balancer& balancer) : balancer_(balancer), poll_(new_epoll_fd()), wake_(new_event_fd()) {
-  if (!retry_on_shortage("epoll_ctl", [this] { return set_epoll_events(poll_.get(), wake_.get(), EPOLLIN, 0); }))
-    throw std::system_error(errno, std::generic_category(), "can't watch clients");
+DisconnectMonitor::DisconnectMonitor(core::Balancer& balancer)
+    : balancer_(balancer), epoll_(new_epoll_fd()), wake_event_(new_event_fd()) {
+  if (!retry_on_shortage("epoll_ctl",
+                         [this] { return set_epoll_events(epoll_.get(), wake_event_.get(), EPOLLIN, 0); }))
+    throw std::system_error(errno, std::generic_category(), "cannot monitor clients for disconnects");
 }
 
 void DisconnectMonitor::run() {
   for (;;) {
     std::array<epoll_event, 32> events{};
-    const int n = ::epoll_wait(poll_.get(), events.data(), static_cast<int>(events.size()), -1);
-    if (n < 0 && classify_errno(errno) == ErrorClass::other)
-      return log::error("clients are watched no more: error {}", errno);
-    for (int i = 0; i < n; ++i) {
+    const int event_count = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), -1);
+    if (event_count < 0 && classify_errno(errno) == ErrorClass::other)
+      return log::error("monitoring of clients for disconnects ended: epoll_wait failed with error {}",
+                        errno);
+    for (int i = 0; i < event_count; ++i) {
       const std::uint64_t id = events[static_cast<std::size_t>(i)].data.u64;
       if (id == 0) return;
-      core::InvocationHandle ticket;
+      core::InvocationHandle handle;
       {
-        std::lock_guard held(lock_);
-        const auto at = watched_.find(id);
-        if (at != watched_.end()) ticket = at->second;
+        std::lock_guard lock(lock_);
+        const auto entry = monitored_.find(id);
+        if (entry != monitored_.end()) handle = entry->second;
       }
-      if (ticket) balancer_.client_gone(ticket);
+      if (handle) balancer_.client_gone(handle);
     }
   }
 }
 
-void DisconnectMonitor::stop() { signal_event(wake_); }
+void DisconnectMonitor::stop() { signal_event(wake_event_); }
 
-DisconnectMonitor::ScopedMonitor::ScopedMonitor(DisconnectMonitor& vigil, int fd, core::InvocationHandle ticket) : disconnect_monitor_(vigil), fd_(fd) {
+DisconnectMonitor::ScopedMonitor::ScopedMonitor(DisconnectMonitor& monitor, int fd,
+                                                core::InvocationHandle handle)
+    : monitor_(monitor), fd_(fd) {
   {
-    std::lock_guard held(disconnect_monitor_.lock_);
-    id_ = disconnect_monitor_.next_id_++;
-    disconnect_monitor_.watched_.emplace(id_, std::move(ticket));
+    std::lock_guard lock(monitor_.lock_);
+    id_ = monitor_.next_id_++;
+    monitor_.monitored_.emplace(id_, std::move(handle));
   }
-  // Where it can't be watched, its end is found out right before each attempt.
-  set_epoll_events(disconnect_monitor_.poll_.get(), fd_, EPOLLRDHUP | EPOLLONESHOT, id_);
+  // If epoll can't add the socket, a disconnect is found by the check right before the first byte of each
+  // hand-off.
+  set_epoll_events(monitor_.epoll_.get(), fd_, EPOLLRDHUP | EPOLLONESHOT, id_);
 }
 
 DisconnectMonitor::ScopedMonitor::~ScopedMonitor() {
-  remove_from_epoll(disconnect_monitor_.poll_.get(), fd_);
-  std::lock_guard held(disconnect_monitor_.lock_);
-  disconnect_monitor_.watched_.erase(id_);
+  remove_from_epoll(monitor_.epoll_.get(), fd_);
+  std::lock_guard lock(monitor_.lock_);
+  monitor_.monitored_.erase(id_);
 }
 
 }  // namespace troutstage::net
--- a/src/net/vigil.h
+++ b/src/net/vigil.h
@@ -1,4 +1,5 @@
-// Watches clients' sockets while their invocations are worked on: a client that closes has gone away.
+// Monitors clients' sockets while their invocations are being worked on, and reports to the balancer when a
+// client disconnects.
 #pragma once
 
 #include <map>
@@ -9,32 +10,36 @@
 
 namespace troutstage::net {
 
+// One epoll thread for all clients. Throws std::system_error from its constructor where no descriptor is
+// available.
 class DisconnectMonitor {
  public:
   explicit DisconnectMonitor(core::Balancer& balancer);
-  void run();  // until stop()
+  // Blocks until stop(). Reports each disconnect to the balancer on the calling thread.
+  void run();
   void stop();
 
-  // Watches a socket for as long as it lives. The socket must stay open meanwhile.
+  // Monitors a socket for the lifetime of the object. The socket must stay open meanwhile. May be created and
+  // destroyed on any thread.
   class ScopedMonitor {
    public:
-    ScopedMonitor(DisconnectMonitor& vigil, int fd, core::InvocationHandle ticket);
+    ScopedMonitor(DisconnectMonitor& monitor, int fd, core::InvocationHandle handle);
     ~ScopedMonitor();
     ScopedMonitor(const ScopedMonitor&) = delete;
     ScopedMonitor& operator=(const ScopedMonitor&) = delete;
 
    private:
-    DisconnectMonitor& disconnect_monitor_;
+    DisconnectMonitor& monitor_;
     int fd_;
     std::uint64_t id_;
   };
 
  private:
   core::Balancer& balancer_;
-  Fd poll_, wake_;
+  Fd epoll_, wake_event_;
   std::mutex lock_;
   std::uint64_t next_id_ = 1;
-  std::map<std::uint64_t, core::InvocationHandle> watched_;
+  std::map<std::uint64_t, core::InvocationHandle> monitored_;
 };
 
 }  // namespace troutstage::net
