--- a/src/net/ending.h
+++ b/src/net/ending.h
@@ -1,5 +1,5 @@
-// Every way in which a hand-off's connection can end, as one value; and the one place that tells the
-// decisions what it means.
+// The result of one HTTP exchange with a backend, and its mapping to the Ending that the balancer learns
+// from. No other place maps results.
 #pragma once
 
 #include <array>
@@ -9,31 +9,37 @@
 
 namespace troutstage::net {
 
+// How the exchange of one hand-off ended. The names are those of the counters and the log.
 enum class ExchangeResult {
-  answered,          // 200 and the whole body
-  answered_error,    // any other whole answer
-  turned_away,       // an answer that says it was not looked at
-  no_room,           // this node has no descriptor or thread left for it
-  not_connected,     // refused, or never came up
-  cut_before_sent,   // broke, or time ran out, before the last byte was written
-  cut_after_sent,    // broke with no byte of an answer
-  answer_cut,        // broke in the middle of the answer
-  answer_malformed,  // what came is no HTTP, or is longer than any answer
-  answer_stalled,    // it had begun and did not go on, on a connection that stays open
-  timed_out,         // nothing came while this node waited
-  source_broke,      // what the client still had to send of its body did not come
-  recalled_unsent,   // recalled before the last byte was written
-  recalled,          // recalled after that
-  withdrawn,         // it may not begin any more: its backend leaves, or what it repeats may have run too long ago
+  answered,          // status 200 and the whole body
+  answered_error,    // a complete answer with any other status
+  turned_away,       // the backend states that it did not process the request (X-Turned-Away: 1)
+  no_room,           // this node had no descriptor, port or thread for it
+  not_connected,     // the connection was refused, or not established in time
+  cut_before_sent,   // the connection broke, time ran out or an answer came before the last byte of the
+                     // request was written
+  cut_after_sent,    // the connection broke after the whole request was written, before any byte of an answer
+  answer_cut,        // the connection broke in the middle of the answer
+  answer_malformed,  // the answer is not valid HTTP, or exceeds the size limit
+  answer_stalled,    // the answer began, then paused for too long on an open connection
+  timed_out,         // no complete answer before the deadline
+  source_broke,      // the rest of a streamed request body could not be read from the client
+  recalled_unsent,   // canceled by this node before the last byte of the request was written
+  recalled,          // canceled by this node after the last byte was written
+  withdrawn,         // not sent in time: the send conditions no longer hold (the backend is leaving, or the
+                     // deduplication window of an earlier attempt has passed), or the client's time is over
 };
+// Texts of the enumerators, in the same order. Counters, logs and tools use them.
 inline constexpr std::array<std::string_view, 15> kExchangeResultNames = {
-    "answered",        "answered_error",  "turned_away", "no_room",          "not_connected",
-    "cut_before_sent", "cut_after_sent",  "answer_cut",  "answer_malformed", "answer_stalled",
-    "timed_out",       "source_broke",    "recalled_unsent", "recalled", "withdrawn"};
+    "answered",        "answered_error", "turned_away",     "no_room",          "not_connected",
+    "cut_before_sent", "cut_after_sent", "answer_cut",      "answer_malformed", "answer_stalled",
+    "timed_out",       "source_broke",   "recalled_unsent", "recalled",         "withdrawn"};
 
-// Told as never run is only what is proven so: the last byte was not written, or the backend says it.
-inline Ending classify_result(ExchangeResult ended) {
-  switch (ended) {
+// The Ending that the balancer is given for a result. Reported as not executed are only results that prove
+// it: the last byte of the request was not written, or the backend itself states that it did not process the
+// request.
+inline Ending classify_result(ExchangeResult result) {
+  switch (result) {
     case ExchangeResult::answered: return Ending::succeeded;
     case ExchangeResult::answered_error: return Ending::error;
     case ExchangeResult::turned_away: return Ending::turned_away;
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -7,44 +7,56 @@
 namespace troutstage::net {
 namespace {
 
-constexpr std::chrono::milliseconds kStallLimit{250};  // a short answer that has begun goes on sooner than this
-constexpr std::size_t kMaxBufferedAnswer = 1 << 20;        // of a long answer before it goes on
+constexpr std::chrono::milliseconds kStallLimit{250};  // longest pause within a short answer
+// Bytes of a long answer that are buffered before it is forwarded.
+constexpr std::size_t kMaxBufferedAnswer = 1 << 20;
 constexpr std::chrono::milliseconds kProgressInterval{20};
-constexpr std::size_t kMaxReadSize = 8 * 1024;   // that one read brings
+constexpr std::size_t kMaxReadSize = 8 * 1024;  // bytes that one read appends
 
-// A thread that stood still for longer than this looks at its connection again before it writes.
+// A reused connection that was checked longer ago than this, because the thread did not run, is checked again
+// before the request is written.
 constexpr std::chrono::milliseconds kCheckValidFor{1};
 
 }  // namespace
 
-ExchangeResult Exchange::run(const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins) {
-  const ExchangeResult ended = run_on_connection(request, target, until, flow, begins);
-  if (ended != ExchangeResult::answered || remaining_body_.whole()) release_connection();
-  if (!interrupter_.is_interrupted() || ended == ExchangeResult::answered) return ended;
-  // A shutdown looks like a broken connection. Whether the last byte had gone is known all the same.
-  const bool unsent = ended == ExchangeResult::not_connected || ended == ExchangeResult::cut_before_sent ||
-                      ended == ExchangeResult::recalled_unsent || ended == ExchangeResult::source_broke || ended == ExchangeResult::withdrawn;
-  return unsent ? ExchangeResult::recalled_unsent : ended == ExchangeResult::no_room ? ended : ExchangeResult::recalled;
+ExchangeResult Exchange::run(const Request& request, const Target& target, TimePoint deadline,
+                             StreamedBody* streamed, const SendConditions& conditions) {
+  const ExchangeResult result = run_on_connection(request, target, deadline, streamed, conditions);
+  if (result != ExchangeResult::answered || remaining_body_.whole()) release_connection();
+  if (!interrupter_.is_interrupted() || result == ExchangeResult::answered) return result;
+  // A canceled exchange looks like a broken connection. Whether the last byte was written is known in any
+  // case.
+  const bool is_unsent = result == ExchangeResult::not_connected ||
+                         result == ExchangeResult::cut_before_sent ||
+                         result == ExchangeResult::recalled_unsent ||
+                         result == ExchangeResult::source_broke || result == ExchangeResult::withdrawn;
+  return is_unsent                           ? ExchangeResult::recalled_unsent
+         : result == ExchangeResult::no_room ? result
+                                             : ExchangeResult::recalled;
 }
 
-ExchangeResult Exchange::run_on_connection(const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins) {
+ExchangeResult Exchange::run_on_connection(const Request& request, const Target& target, TimePoint deadline,
+                                           StreamedBody* streamed, const SendConditions& conditions) {
   target_ = target;
   for (;;) {
     connection_ = pool_.take_idle(target.instance_id, pack_address(target.address));
-    const bool open = connection_.has_value();
+    const bool is_reused = connection_.has_value();
     const TimePoint checked_at = TimePoint::clock::now();
-    if (!open) {
-      auto fresh = pool_.open_new();
-      if (!fresh) return ExchangeResult::no_room;
-      connection_.emplace(std::move(*fresh));
+    if (!is_reused) {
+      auto new_connection = pool_.open_new();
+      if (!new_connection) return ExchangeResult::no_room;
+      connection_.emplace(std::move(*new_connection));
     }
-    if (const auto ended = send_and_receive(open, checked_at, request, target, until, flow, begins)) return *ended;
+    if (const auto result =
+            send_and_receive(is_reused, checked_at, request, target, deadline, streamed, conditions))
+      return *result;
   }
 }
 
-// Bytes beyond the answer belong to nothing that was asked for: such a connection is not used again.
+// Bytes behind the end of the answer belong to no request: such a connection is closed.
 void Exchange::release_connection() {
-  if (connection_ && reader_ && has_answer_ && remaining_body_.whole() && answer_.keep_alive && !interrupter_.is_interrupted()) {
+  if (connection_ && reader_ && has_answer_ && remaining_body_.whole() && answer_.keep_alive &&
+      !interrupter_.is_interrupted()) {
     const std::uint64_t address = pack_address(target_.address);
     if (reader_->has_buffered_bytes()) pool_.record_unsolicited_bytes(target_.instance_id, address, {});
     else pool_.give_back(target_.instance_id, address, std::move(*connection_));
@@ -53,105 +65,127 @@
   reader_.reset();
 }
 
-// Whether an open connection still has nothing to read, right before a request goes out on it.
+// Whether a reused connection still has no unread bytes, right before the request is written.
 bool Exchange::is_still_reusable(int fd, TimePoint checked_at) {
   if (TimePoint::clock::now() - checked_at < kCheckValidFor) return true;
-  const PeekResult unread = peek_socket(fd);
-  if (unread == PeekResult::bytes) pool_.record_unsolicited_bytes(target_.instance_id, pack_address(target_.address), {});
-  return unread == PeekResult::none;
+  const PeekResult peeked = peek_socket(fd);
+  if (peeked == PeekResult::bytes)
+    pool_.record_unsolicited_bytes(target_.instance_id, pack_address(target_.address), {});
+  return peeked == PeekResult::none;
 }
 
-std::optional<ExchangeResult> Exchange::send_and_receive(bool open, TimePoint checked_at, const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins) {
+std::optional<ExchangeResult> Exchange::send_and_receive(bool is_reused, TimePoint checked_at,
+                                                         const Request& request, const Target& target,
+                                                         TimePoint deadline, StreamedBody* streamed,
+                                                         const SendConditions& conditions) {
   const int fd = connection_->fd();
-  const SocketInterrupter::Attachment hold(interrupter_, fd);
+  const SocketInterrupter::Attachment attachment(interrupter_, fd);
   if (interrupter_.is_interrupted()) return ExchangeResult::recalled_unsent;
-  if (!open) {
-    const TimePoint limit = std::min({until, begins.send_by, TimePoint::clock::now() + connect_timeout_});
-    const IoResult io = connect_to(fd, target.address, limit);
-    if (io == IoResult::resource_shortage) return ExchangeResult::no_room;
-    if (io != IoResult::done) return limit == begins.send_by ? ExchangeResult::withdrawn : ExchangeResult::not_connected;
+  if (!is_reused) {
+    const TimePoint connect_by =
+        std::min({deadline, conditions.send_by, TimePoint::clock::now() + connect_timeout_});
+    const IoResult connect_result = connect_to(fd, target.address, connect_by);
+    if (connect_result == IoResult::resource_shortage) return ExchangeResult::no_room;
+    if (connect_result != IoResult::done)
+      return connect_by == conditions.send_by ? ExchangeResult::withdrawn : ExchangeResult::not_connected;
     ++counters_.connections_opened;
   }
-  // Decided on, it may have waited for a thread and a connection for longer than a drain or a window allows.
-  if (!begins.is_met()) return ExchangeResult::withdrawn;
-  const auto left =
-      flow != nullptr
-          ? flow->remaining_ms
-          : std::chrono::duration_cast<std::chrono::milliseconds>(until - TimePoint::clock::now()).count();
-  // Before the last byte is written it has never run, after that it may have: nothing here sends it again.
-  const std::string_view kept = request.body;
-  const bool chunks = flow != nullptr && flow->remaining_body->framing() == Framing::chunked;
-  if (left <= 0 || interrupter_.is_interrupted()) return ExchangeResult::cut_before_sent;
-  if (open && !is_still_reusable(fd, checked_at)) return std::nullopt;
+  // Since the balancer chose the backend, waiting for a thread and a connection may have taken longer than a
+  // drain of the backend or the deduplication window allows.
+  if (!conditions.is_met()) return ExchangeResult::withdrawn;
+  const auto remaining_ms =
+      streamed != nullptr
+          ? streamed->remaining_ms
+          : std::chrono::duration_cast<std::chrono::milliseconds>(deadline - TimePoint::clock::now()).count();
+  // Before its last byte is written a request has not been executed; after that it may have been. This class
+  // never sends a request twice.
+  const std::string_view buffered_body = request.body;
+  const bool is_chunked = streamed != nullptr && streamed->remaining_body->framing() == Framing::chunked;
+  if (remaining_ms <= 0 || interrupter_.is_interrupted()) return ExchangeResult::cut_before_sent;
+  if (is_reused && !is_still_reusable(fd, checked_at)) return std::nullopt;
   first_byte_at_ = TimePoint::clock::now();
-  const TimePoint written_by = std::min(until, begins.send_by);
-  if ((chunks ? write_all(fd, format_request_head(request, left) + frame_body_piece(*flow->remaining_body, kept), written_by)
-              : write_head_and_body(fd, format_request_head(request, left), kept, written_by)) != IoResult::done)
-    return begins.is_met() ? ExchangeResult::cut_before_sent : ExchangeResult::withdrawn;
+  const TimePoint written_by = std::min(deadline, conditions.send_by);
+  if ((is_chunked ? write_all(fd,
+                              format_request_head(request, remaining_ms) +
+                                  frame_body_piece(*streamed->remaining_body, buffered_body),
+                              written_by)
+                  : write_head_and_body(fd, format_request_head(request, remaining_ms), buffered_body,
+                                        written_by)) != IoResult::done)
+    return conditions.is_met() ? ExchangeResult::cut_before_sent : ExchangeResult::withdrawn;
   reader_.emplace(fd, kStallLimit);
-  if (flow != nullptr) {
-    ExchangeResult ended = ExchangeResult::cut_before_sent;
-    if (!send_streamed_body(fd, *flow, until, begins, ended)) return ended;
-    until = std::min(until, flow->answer_deadline());
+  if (streamed != nullptr) {
+    ExchangeResult result = ExchangeResult::cut_before_sent;
+    if (!send_streamed_body(fd, *streamed, deadline, conditions, result)) return result;
+    deadline = std::min(deadline, streamed->answer_deadline());
   }
   ++counters_.written;
-  return read_answer(until, begins);
+  return read_answer(deadline, conditions);
 }
 
-// False: it did not go out whole.
-bool Exchange::send_streamed_body(int fd, StreamedBody& flow, TimePoint until, const SendConditions& begins, ExchangeResult& ended) {
-  for (std::string piece; !flow.remaining_body->whole(); piece.clear()) {
-    flow.is_partly_consumed = true;
-    if (flow.next(piece) != ReadResult::whole) return ended = ExchangeResult::source_broke, false;
-    if (flow.remaining_body->whole()) until = std::min(until, flow.answer_deadline());
-    // Its client's time is over before the backend has all of it, and so begins it.
-    if (TimePoint::clock::now() >= until) return ended = ExchangeResult::withdrawn, false;
-    if (interrupter_.is_interrupted() || write_all(fd, frame_body_piece(*flow.remaining_body, piece), until) != IoResult::done) return false;
-    // An answer before all was sent: the backend wants no more of it, and has not begun.
-    if (!flow.remaining_body->whole() && peek_socket(fd) == PeekResult::bytes) {
-      if (read_answer(until, begins) == ExchangeResult::turned_away) ended = ExchangeResult::turned_away;
+// Streams the rest of the body to the backend. False: the body was not written whole, for the reason in
+// `result`.
+bool Exchange::send_streamed_body(int fd, StreamedBody& streamed, TimePoint deadline,
+                                  const SendConditions& conditions, ExchangeResult& result) {
+  for (std::string piece; !streamed.remaining_body->whole(); piece.clear()) {
+    streamed.is_partly_consumed = true;
+    if (streamed.next(piece) != ReadResult::whole) return result = ExchangeResult::source_broke, false;
+    if (streamed.remaining_body->whole()) deadline = std::min(deadline, streamed.answer_deadline());
+    // The client's time is over before the backend has the whole request, so the backend has not started on
+    // it.
+    if (TimePoint::clock::now() >= deadline) return result = ExchangeResult::withdrawn, false;
+    if (interrupter_.is_interrupted() ||
+        write_all(fd, frame_body_piece(*streamed.remaining_body, piece), deadline) != IoResult::done)
+      return false;
+    // The backend answers before it has the whole body: it wants no more of the body and has not executed the
+    // request.
+    if (!streamed.remaining_body->whole() && peek_socket(fd) == PeekResult::bytes) {
+      if (read_answer(deadline, conditions) == ExchangeResult::turned_away)
+        result = ExchangeResult::turned_away;
       answer_.keep_alive = false;
       return false;
     }
   }
-  flow.sent_at = TimePoint::clock::now();
+  streamed.sent_at = TimePoint::clock::now();
   return true;
 }
 
-// Kept until it is whole, or for as long as is allowed: what has begun to go on to the client can't be taken back. Whole:
-// it may go on from here.
-ReadResult Exchange::read_long_answer(TimePoint until, const SendConditions& begins) {
-  // Cut at the first pause of a quarter of a second, a slow backend's long answer was lost.
+// Buffers a long answer until it is complete, or for as long as allowed, since an answer that is partly
+// forwarded to the client can't be replaced by another one. Returns `whole` when forwarding may begin.
+ReadResult Exchange::read_long_answer(TimePoint deadline, const SendConditions& conditions) {
+  // With the stall limit of a quarter of a second, long answers of slow backends were lost.
   reader_->disable_stall_limit();
-  const TimePoint begun = TimePoint::clock::now();
-  core::AnswerBuffering hold(begun, until, answer_.body.size());
-  std::size_t room = kMaxShortAnswerBytes;
-  TimePoint told;
+  const TimePoint begun_at = TimePoint::clock::now();
+  core::AnswerBuffering buffering(begun_at, deadline, answer_.body.size());
+  std::size_t buffer_limit = kMaxShortAnswerBytes;
+  TimePoint last_progress_at;
   while (!remaining_body_.whole()) {
-    if (answer_.body.size() + kMaxReadSize > room) {
-      if (room >= kMaxBufferedAnswer || !bytes_.take_optional(kMaxShortAnswerBytes)) return ReadResult::whole;
-      room += kMaxShortAnswerBytes;
+    if (answer_.body.size() + kMaxReadSize > buffer_limit) {
+      if (buffer_limit >= kMaxBufferedAnswer || !bytes_.take_optional(kMaxShortAnswerBytes))
+        return ReadResult::whole;
+      buffer_limit += kMaxShortAnswerBytes;
     }
-    const std::size_t before = answer_.body.size();
-    const ReadResult got = remaining_body_.next(*reader_, hold.next_decision_at(TimePoint::clock::now()), answer_.body);
+    const std::size_t size_before = answer_.body.size();
+    const ReadResult read_result =
+        remaining_body_.next(*reader_, buffering.next_decision_at(TimePoint::clock::now()), answer_.body);
     const TimePoint now = TimePoint::clock::now();
-    if (got != ReadResult::whole && got != ReadResult::late) return got;
-    if (got == ReadResult::whole) hold.add_received(answer_.body.size() - before);
-    if (got == ReadResult::whole && begins.answer_progressed && now - told >= kProgressInterval) {
-      told = now;
-      begins.answer_progressed();
+    if (read_result != ReadResult::whole && read_result != ReadResult::late) return read_result;
+    if (read_result == ReadResult::whole) buffering.add_received(answer_.body.size() - size_before);
+    if (read_result == ReadResult::whole && conditions.answer_progressed &&
+        now - last_progress_at >= kProgressInterval) {
+      last_progress_at = now;
+      conditions.answer_progressed();
     }
     if (remaining_body_.whole()) break;
-    const auto verdict = hold.at(now);
-    if (verdict == core::AnswerBuffering::Decision::forward) return ReadResult::whole;
-    if (verdict == core::AnswerBuffering::Decision::give_up) return ReadResult::late;
+    const auto decision = buffering.at(now);
+    if (decision == core::AnswerBuffering::Decision::forward) return ReadResult::whole;
+    if (decision == core::AnswerBuffering::Decision::give_up) return ReadResult::late;
   }
   return ReadResult::whole;
 }
 
-ExchangeResult Exchange::read_answer(TimePoint until, const SendConditions& begins) {
-  const auto how = [](ReadResult got) {
-    switch (got) {
+ExchangeResult Exchange::read_answer(TimePoint deadline, const SendConditions& conditions) {
+  const auto to_exchange_result = [](ReadResult read_result) {
+    switch (read_result) {
       case ReadResult::whole: return ExchangeResult::answered;
       case ReadResult::nothing: return ExchangeResult::cut_after_sent;
       case ReadResult::cut: return ExchangeResult::answer_cut;
@@ -162,12 +196,15 @@
     }
     return ExchangeResult::answer_malformed;
   };
-  ReadResult got = read_response_head(*reader_, until, answer_, remaining_body_, kMaxBodyBytes);
-  const bool is_long = answer_.status == 200 && remaining_body_.framing() == Framing::length && remaining_body_.left() > kMaxShortAnswerBytes;
-  while (got == ReadResult::whole && !remaining_body_.whole() && !is_long && answer_.body.size() <= kMaxShortAnswerBytes)
-    got = remaining_body_.next(*reader_, until, answer_.body);
-  if (got == ReadResult::whole && !remaining_body_.whole() && answer_.status == 200) got = read_long_answer(until, begins);
-  if (got != ReadResult::whole) return how(got);
+  ReadResult read_result = read_response_head(*reader_, deadline, answer_, remaining_body_, kMaxBodyBytes);
+  const bool is_long = answer_.status == 200 && remaining_body_.framing() == Framing::length &&
+                       remaining_body_.left() > kMaxShortAnswerBytes;
+  while (read_result == ReadResult::whole && !remaining_body_.whole() && !is_long &&
+         answer_.body.size() <= kMaxShortAnswerBytes)
+    read_result = remaining_body_.next(*reader_, deadline, answer_.body);
+  if (read_result == ReadResult::whole && !remaining_body_.whole() && answer_.status == 200)
+    read_result = read_long_answer(deadline, conditions);
+  if (read_result != ReadResult::whole) return to_exchange_result(read_result);
   has_answer_ = true;
   if (answer_.turned_away) return ExchangeResult::turned_away;
   return answer_.status == 200 ? ExchangeResult::answered : ExchangeResult::answered_error;
--- a/src/net/exchange.h
+++ b/src/net/exchange.h
@@ -1,4 +1,5 @@
-// One hand-off on the wire: a request goes to one backend, and what becomes of it is one value of Ended.
+// One HTTP exchange of a hand-off: sends a request to one backend, reads the answer and reports one
+// ExchangeResult.
 #pragma once
 
 #include <functional>
@@ -13,67 +14,86 @@
 
 namespace troutstage::net {
 
+// The backend that a hand-off goes to.
 struct Target {
-  std::uint64_t instance_id = 0;  // of a backend, never given again
+  std::uint64_t instance_id = 0;  // identifies one lifetime of a backend; never reused
   sockaddr_in address{};
 };
 
-// The part of a request's body that is not kept: taken from its client as the backend takes it.
+// The part of a request body that is not buffered: read from the client at the pace at which the backend
+// accepts it. Used by the thread that runs the exchange.
 struct StreamedBody {
-  std::function<ReadResult(std::string& piece)> next;
+  std::function<ReadResult(std::string& piece)> next;  // reads the next piece from the client
   const Body* remaining_body = nullptr;
-  std::int64_t remaining_ms = 0;  // that its client waits once it has sent all
-  bool is_partly_consumed = false;             // some of it has been taken, so it can't be sent again
-  TimePoint last_byte_at;               // when the client's last byte came, known once all of it has been taken
-  TimePoint answer_deadline() const { return last_byte_at + std::chrono::milliseconds(remaining_ms); }  // the same
-  TimePoint sent_at;  // when all of it had been written to its backend
+  std::int64_t remaining_ms = 0;    // how long the client waits for the answer after its last byte
+  bool is_partly_consumed = false;  // a piece was read from the client, so the request can't be sent again
+  TimePoint last_byte_at;           // arrival of the client's last byte; set once the whole body was read
+  // Valid once last_byte_at is set.
+  TimePoint answer_deadline() const { return last_byte_at + std::chrono::milliseconds(remaining_ms); }
+  TimePoint sent_at;  // when the whole body had been written to the backend
 };
 
-// What has to hold still when a hand-off's first byte goes: its connection may be long in coming up; and who is told
-// that its answer comes.
+// Conditions that are checked again before the first byte of a hand-off is written, since establishing the
+// connection may take long; and a callback for the progress of a long answer.
 struct SendConditions {
-  TimePoint send_by = TimePoint::max();  // all that is kept of the request is out before this
-  std::function<bool()> may_send;  // none: it may
-  std::function<void()> answer_progressed = {};  // of a long one, at most once in kTellEvery; none: nobody
+  // The buffered part of the request has to be written before this time.
+  TimePoint send_by = TimePoint::max();
+  std::function<bool()> may_send;  // empty: no further condition
+  // Called while a long answer arrives, at most once per kProgressInterval; may be empty.
+  std::function<void()> answer_progressed = {};
   bool is_met() const { return TimePoint::clock::now() < send_by && (!may_send || may_send()); }
 };
 
+// Runs one exchange. run(), answer(), next() and release_connection() belong to one thread; cancel() may be
+// called from any thread.
 class Exchange {
  public:
-  Exchange(ConnectionPool& pool, Counters& counters, BodyBytesBudget& bytes, std::chrono::steady_clock::duration connect_timeout)
+  Exchange(ConnectionPool& pool, Counters& counters, BodyBytesBudget& bytes,
+           std::chrono::steady_clock::duration connect_timeout)
       : pool_(pool), counters_(counters), bytes_(bytes), connect_timeout_(connect_timeout) {}
-  // Blocks till it is over, at `until` at the latest.
-  ExchangeResult run(const Request& request, const Target& target, TimePoint until, StreamedBody* flow = nullptr, const SendConditions& begins = {});
-  TimePoint first_byte_at() const { return first_byte_at_; }  // after run(); the clock's start: none went
-  // Ends run() from another thread.
+  // Blocks until the exchange is over, at `deadline` at the latest. After `answered` the body may be
+  // incomplete: answer() holds the part read so far, and next() reads what follows.
+  ExchangeResult run(const Request& request, const Target& target, TimePoint deadline,
+                     StreamedBody* streamed = nullptr, const SendConditions& conditions = {});
+  // Valid after run(); the epoch of the clock if no byte was written.
+  TimePoint first_byte_at() const { return first_byte_at_; }
+  // Makes run() return early. Shuts the connection down; callable from any thread.
   void cancel() { interrupter_.interrupt(); }
-  const Response& answer() const { return answer_; }  // after run()
-  // An answered one may go on: its body so far is in answer(), and what else there is comes from here.
+  const Response& answer() const { return answer_; }  // valid after run()
+  // The unread part of the answer's body; next() appends its next piece to `piece`.
   const Body& remaining_body() const { return remaining_body_; }
-  ReadResult next(TimePoint limit, std::string& piece) { return remaining_body_.next(*reader_, limit, piece); }
-  void release_connection();  // it came whole: the connection may be used again
+  ReadResult next(TimePoint deadline, std::string& piece) {
+    return remaining_body_.next(*reader_, deadline, piece);
+  }
+  void release_connection();  // returns the connection to the pool if it is reusable, else closes it
 
  private:
-  ExchangeResult run_on_connection(const Request& request, const Target& target, TimePoint until, StreamedBody* flow, const SendConditions& begins);
-  // Nothing: the connection, found open at `looked_at`, can't be used any more, and no byte of the request went out.
-  std::optional<ExchangeResult> send_and_receive(bool open, TimePoint checked_at, const Request& request, const Target& target, TimePoint until,
-                            StreamedBody* flow, const SendConditions& begins);
+  ExchangeResult run_on_connection(const Request& request, const Target& target, TimePoint deadline,
+                                   StreamedBody* streamed, const SendConditions& conditions);
+  // Empty: the reused connection, checked at `checked_at`, is no longer usable and no byte of the request was
+  // written, so another connection may be tried.
+  std::optional<ExchangeResult> send_and_receive(bool is_reused, TimePoint checked_at, const Request& request,
+                                                 const Target& target, TimePoint deadline,
+                                                 StreamedBody* streamed, const SendConditions& conditions);
   bool is_still_reusable(int fd, TimePoint checked_at);
-  bool send_streamed_body(int fd, StreamedBody& flow, TimePoint until, const SendConditions& begins, ExchangeResult& ended);
-  ExchangeResult read_answer(TimePoint until, const SendConditions& begins);
-  ReadResult read_long_answer(TimePoint until, const SendConditions& begins);
+  bool send_streamed_body(int fd, StreamedBody& streamed, TimePoint deadline,
+                          const SendConditions& conditions, ExchangeResult& result);
+  ExchangeResult read_answer(TimePoint deadline, const SendConditions& conditions);
+  ReadResult read_long_answer(TimePoint deadline, const SendConditions& conditions);
 
   ConnectionPool& pool_;
   Counters& counters_;
-  BodyBytesBudget::Reservation bytes_;  // of a long answer, beyond what each may have
+  // For the part of a long answer beyond the buffer that each exchange may use.
+  BodyBytesBudget::Reservation bytes_;
   const std::chrono::steady_clock::duration connect_timeout_;
   Response answer_;
   Body remaining_body_;
-  std::optional<ConnectionPool::Connection> connection_;  // while it may be used again, or its answer goes on
+  // Held while the connection may be reused, or while the answer is still being read.
+  std::optional<ConnectionPool::Connection> connection_;
   std::optional<Reader> reader_;
   Target target_;
   TimePoint first_byte_at_;
-  bool has_answer_ = false;  // its answer, as far as that goes
+  bool has_answer_ = false;  // the answer was read, as far as it is buffered here
   SocketInterrupter interrupter_;
 };
 
