--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -25,12 +25,14 @@
                       [](char c) { return (static_cast<unsigned char>(c) < 32 && c != '\t') || c == 127; });
 }
 
-// Headers that belong to this connection, or that the node writes itself.
+// Whether a header is forwarded to the backend: not if it concerns the connection only, or if the node writes
+// it itself.
 bool is_forwarded(std::string_view name) {
-  constexpr std::string_view kStay[] = {"Connection", "Keep-Alive", "Proxy-Connection", "Upgrade",
-                                        "TE",         "Trailer",    "Expect",           kRemainingMsHeader,
-                                        "Transfer-Encoding"};
-  return std::none_of(std::begin(kStay), std::end(kStay), [&](auto stay) { return equals_ignoring_case(name, stay); });
+  constexpr std::string_view kNotForwarded[] = {
+      "Connection", "Keep-Alive", "Proxy-Connection", "Upgrade",          "TE",
+      "Trailer",    "Expect",     kRemainingMsHeader, "Transfer-Encoding"};
+  return std::none_of(std::begin(kNotForwarded), std::end(kNotForwarded),
+                      [&](auto excluded) { return equals_ignoring_case(name, excluded); });
 }
 
 std::string_view reason_phrase(int status) {
@@ -51,27 +53,28 @@
   }
 }
 
-// Takes the fields that decisions need; false: one of them can't be what a client means.
-bool parse_fields(const Head& head, Request& r) {
-  for (std::string_view name : {kRemainingMsHeader, kTenantHeader, kTransactionHeader, kIdempotencyKeyHeader, kEstimateHeader, kResentHeader, kHostHeader})
+// Reads the headers that the balancer needs; false: one is repeated, invalid or missing.
+bool parse_fields(const Head& head, Request& request) {
+  for (std::string_view name : {kRemainingMsHeader, kTenantHeader, kTransactionHeader, kIdempotencyKeyHeader,
+                                kEstimateHeader, kResentHeader, kHostHeader})
     if (head.count(name) > 1) return false;
-  r.tenant = head.value(kTenantHeader);
-  r.transaction = head.value(kTransactionHeader);
-  if (r.transaction.empty()) return false;
+  request.tenant = head.value(kTenantHeader);
+  request.transaction = head.value(kTransactionHeader);
+  if (request.transaction.empty()) return false;
   if (head.count(kRemainingMsHeader) > 0) {
     const auto remaining = parse_digits(head.value(kRemainingMsHeader));
-    constexpr std::int64_t kDay = 24 * 3600 * 1000;
-    if (!remaining || *remaining > kDay) return false;
-    r.remaining_ms = *remaining;
+    constexpr std::int64_t kMaxRemainingMs = 24 * 3600 * 1000;
+    if (!remaining || *remaining > kMaxRemainingMs) return false;
+    request.remaining_ms = *remaining;
   }
   if (const std::string_view hint = head.value(kEstimateHeader); !hint.empty()) {
-    const auto [end, error] = std::from_chars(hint.data(), hint.data() + hint.size(), r.hint_micros);
+    const auto [end, error] = std::from_chars(hint.data(), hint.data() + hint.size(), request.hint_micros);
     if (error != std::errc() || end != hint.data() + hint.size() ||
-        !(r.hint_micros >= 0 && r.hint_micros < 1e12))
+        !(request.hint_micros >= 0 && request.hint_micros < 1e12))
       return false;
   }
-  r.has_idempotency_key = !head.value(kIdempotencyKeyHeader).empty();
-  r.is_client_retry = head.value(kResentHeader) == "1";
+  request.has_idempotency_key = !head.value(kIdempotencyKeyHeader).empty();
+  request.is_client_retry = head.value(kResentHeader) == "1";
   return true;
 }
 
@@ -107,21 +110,22 @@
 }
 
 std::size_t Head::count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(headers.begin(), headers.end(),
-                                                [&](const Header& h) { return equals_ignoring_case(h.name, name); }));
+  return static_cast<std::size_t>(std::count_if(headers.begin(), headers.end(), [&](const Header& header) {
+    return equals_ignoring_case(header.name, name);
+  }));
 }
 std::string_view Head::value(std::string_view name) const {
-  for (const Header& h : headers)
-    if (equals_ignoring_case(h.name, name)) return h.value;
+  for (const Header& header : headers)
+    if (equals_ignoring_case(header.name, name)) return header.value;
   return {};
 }
 bool Head::has_list_token(std::string_view name, std::string_view token) const {
-  for (const Header& h : headers) {
-    if (!equals_ignoring_case(h.name, name)) continue;
-    for (std::string_view remaining_body = h.value; !remaining_body.empty();) {
-      const std::string_view one = remaining_body.substr(0, remaining_body.find(','));
-      remaining_body.remove_prefix(std::min(remaining_body.size(), one.size() + 1));
-      if (equals_ignoring_case(trimmed(one), token)) return true;
+  for (const Header& header : headers) {
+    if (!equals_ignoring_case(header.name, name)) continue;
+    for (std::string_view rest = header.value; !rest.empty();) {
+      const std::string_view element = rest.substr(0, rest.find(','));
+      rest.remove_prefix(std::min(rest.size(), element.size() + 1));
+      if (equals_ignoring_case(trimmed(element), token)) return true;
     }
   }
   return false;
@@ -129,60 +133,62 @@
 
 std::optional<Head> parse_head(std::string_view bytes, MessageKind kind) {
   Head head;
-  std::size_t end = bytes.find(kLineEnd);
-  if (end == std::string_view::npos) return std::nullopt;
-  std::string_view first = bytes.substr(0, end);
-  if (!is_text(first)) return std::nullopt;
+  std::size_t line_end = bytes.find(kLineEnd);
+  if (line_end == std::string_view::npos) return std::nullopt;
+  std::string_view start_line = bytes.substr(0, line_end);
+  if (!is_text(start_line)) return std::nullopt;
   for (int i = 0; i < 3; ++i) {
-    const std::size_t blank = i < 2 ? first.find(' ') : std::string_view::npos;
-    head.first[i] = first.substr(0, blank);
-    first.remove_prefix(blank == std::string_view::npos ? first.size() : blank + 1);
+    const std::size_t blank_at = i < 2 ? start_line.find(' ') : std::string_view::npos;
+    head.first[i] = start_line.substr(0, blank_at);
+    start_line.remove_prefix(blank_at == std::string_view::npos ? start_line.size() : blank_at + 1);
   }
-  for (std::size_t from = end + 2;;) {
-    end = bytes.find(kLineEnd, from);
-    if (end == std::string_view::npos) return std::nullopt;
-    if (end == from) return head;
-    const std::string_view line = bytes.substr(from, end - from);
-    // An answer's folded field is none that this node reads.
+  for (std::size_t line_start = line_end + 2;;) {
+    line_end = bytes.find(kLineEnd, line_start);
+    if (line_end == std::string_view::npos) return std::nullopt;
+    if (line_end == line_start) return head;
+    const std::string_view line = bytes.substr(line_start, line_end - line_start);
+    // In a response, folded lines are skipped: this node reads no header that is folded.
     if (kind == MessageKind::response && !head.headers.empty() && (line[0] == ' ' || line[0] == '\t')) {
-      from = end + 2;
+      line_start = line_end + 2;
       continue;
     }
-    const std::size_t colon = line.find(':');
-    // A folded line, a blank before the colon and a bare line end are read in different ways by different
-    // programs; a request could be smuggled in them.
-    const std::string_view name = line.substr(0, colon);
-    // A load report that can't be read must not spoil the answer that brings it.
-    if (colon == std::string_view::npos || !is_token(name) ||
-        (!is_text(line.substr(colon)) && !equals_ignoring_case(name, kPressureHeader)))
+    const std::size_t colon_at = line.find(':');
+    // Folded lines, blanks before the colon and bare line ends are interpreted differently by different
+    // programs, which allows request smuggling.
+    const std::string_view name = line.substr(0, colon_at);
+    // An unreadable load report must not invalidate the response that contains it.
+    if (colon_at == std::string_view::npos || !is_token(name) ||
+        (!is_text(line.substr(colon_at)) && !equals_ignoring_case(name, kPressureHeader)))
       return std::nullopt;
-    head.headers.push_back({name, trimmed(line.substr(colon + 1)), bytes.substr(from, end + 2 - from)});
-    from = end + 2;
+    head.headers.push_back(
+        {name, trimmed(line.substr(colon_at + 1)), bytes.substr(line_start, line_end + 2 - line_start)});
+    line_start = line_end + 2;
   }
 }
 
-// Whether what has come of a head can be its beginning. Noise often ends nowhere: looked at only when a whole
-// head is there, it was found out at the time limit.
-bool is_head_prefix(std::string_view bytes, std::size_t looked, MessageKind kind) {
+// Garbage often has no end: when only complete heads were checked, it was detected at the deadline only.
+bool is_head_prefix(std::string_view bytes, std::size_t checked_size, MessageKind kind) {
   constexpr std::string_view kResponse = "HTTP/1.";
-  constexpr std::size_t kLongestMethod = 16;
+  constexpr std::size_t kMaxMethodSize = 16;
   if (kind == MessageKind::response && !bytes.starts_with(kResponse.substr(0, bytes.size()))) return false;
   const std::string_view method = bytes.substr(0, bytes.find(' '));
-  if (kind == MessageKind::request && (method.size() > kLongestMethod || !is_token(method))) return false;
-  for (std::size_t i = looked; i < bytes.size(); ++i) {
+  if (kind == MessageKind::request && (method.size() > kMaxMethodSize || !is_token(method))) return false;
+  for (std::size_t i = checked_size; i < bytes.size(); ++i) {
     if (bytes[i] == '\n' && (i == 0 || bytes[i - 1] != '\r')) return false;
     if (bytes[i] == '\r' && i + 1 < bytes.size() && bytes[i + 1] != '\n') return false;
   }
   return true;
 }
 
-// One more piece. Where an answer's length doesn't fit, the rest never comes and the connection stays open.
-ReadResult Reader::fill_once(TimePoint limit, bool begun) {
-  const TimePoint patience =
-      begun && stall_limit_.count() > 0 ? std::min(limit, TimePoint::clock::now() + stall_limit_) : limit;
-  switch (read_some(fd_, buffer_, patience, arrival_)) {
+// If the length of an answer is wrong, its rest never arrives and the connection stays open: the stall limit
+// detects this.
+ReadResult Reader::fill_once(TimePoint deadline, bool has_begun) {
+  const TimePoint read_by = has_begun && stall_limit_.count() > 0
+                                ? std::min(deadline, TimePoint::clock::now() + stall_limit_)
+                                : deadline;
+  switch (read_some(fd_, buffer_, read_by, arrival_)) {
     case IoResult::done: return ReadResult::whole;
-    case IoResult::late: return patience < limit ? ReadResult::stalled : ReadResult::late;
+    case IoResult::late: return read_by < deadline ? ReadResult::stalled : ReadResult::late;
     case IoResult::ended: return ReadResult::nothing;
     case IoResult::broken:
     case IoResult::resource_shortage: break;
@@ -190,76 +196,83 @@
   return ReadResult::cut;
 }
 
-// Reads on until the buffer holds `need` bytes.
-ReadResult Reader::fill_until(TimePoint limit, std::size_t need, bool begun) {
-  while (buffer_.size() < need)
-    if (const ReadResult got = fill_once(limit, begun || !buffer_.empty()); got != ReadResult::whole)
-      return got != ReadResult::nothing && got != ReadResult::cut ? got : buffer_.empty() ? ReadResult::nothing : ReadResult::cut;
+ReadResult Reader::fill_until(TimePoint deadline, std::size_t needed_size, bool has_begun) {
+  while (buffer_.size() < needed_size)
+    if (const ReadResult result = fill_once(deadline, has_begun || !buffer_.empty());
+        result != ReadResult::whole)
+      return result != ReadResult::nothing && result != ReadResult::cut ? result
+             : buffer_.empty()                                          ? ReadResult::nothing
+                                                                        : ReadResult::cut;
   return ReadResult::whole;
 }
 
-ReadResult Reader::read_head(TimePoint limit, Head& head, MessageKind kind) {
+ReadResult Reader::read_head(TimePoint deadline, Head& head, MessageKind kind) {
   buffer_.erase(0, std::exchange(head_size_, 0));
-  std::size_t looked = 0;
+  std::size_t checked_size = 0;
   for (;;) {
-    const std::size_t end = buffer_.find(kBlankLine, looked);
-    if (end != std::string::npos) {
-      head_size_ = end + kBlankLine.size();
+    const std::size_t head_end = buffer_.find(kBlankLine, checked_size);
+    if (head_end != std::string::npos) {
+      head_size_ = head_end + kBlankLine.size();
       auto parsed = parse_head(std::string_view(buffer_).substr(0, head_size_), kind);
       if (!parsed) return ReadResult::malformed;
       head = std::move(*parsed);
       return ReadResult::whole;
     }
-    if (!buffer_.empty() && !is_head_prefix(buffer_, looked, kind)) return ReadResult::malformed;
+    if (!buffer_.empty() && !is_head_prefix(buffer_, checked_size, kind)) return ReadResult::malformed;
     if (buffer_.size() > kMaxHeadBytes) return ReadResult::too_large;
-    looked = buffer_.size() < 3 ? 0 : buffer_.size() - 3;
-    if (const ReadResult got = fill_until(limit, buffer_.size() + 1, false); got != ReadResult::whole) return got;
+    checked_size = buffer_.size() < 3 ? 0 : buffer_.size() - 3;
+    if (const ReadResult result = fill_until(deadline, buffer_.size() + 1, false);
+        result != ReadResult::whole)
+      return result;
   }
 }
 
-ReadResult Reader::read_up_to(TimePoint limit, std::size_t most, std::string& into) {
+ReadResult Reader::read_up_to(TimePoint deadline, std::size_t max_size, std::string& into) {
   discard_head();
   if (buffer_.empty())
-    if (const ReadResult got = fill_once(limit, true); got != ReadResult::whole) return got;
-  const std::size_t n = std::min(most, buffer_.size());
-  into.append(buffer_, 0, n);
-  buffer_.erase(0, n);
+    if (const ReadResult result = fill_once(deadline, true); result != ReadResult::whole) return result;
+  const std::size_t size = std::min(max_size, buffer_.size());
+  into.append(buffer_, 0, size);
+  buffer_.erase(0, size);
   return ReadResult::whole;
 }
 
-ReadResult Reader::read_line(TimePoint limit, std::string& line) {
+ReadResult Reader::read_line(TimePoint deadline, std::string& line) {
   discard_head();
   for (;;) {
-    // What another program takes for a line's end may hide a request.
-    const std::size_t end = buffer_.find('\n');
-    if (end != std::string::npos) {
-      if (end == 0 || buffer_[end - 1] != '\r') return ReadResult::malformed;
-      line = buffer_.substr(0, end - 1);
-      buffer_.erase(0, end + 1);
+    // A bare LF that another program takes for a line end may hide a request.
+    const std::size_t line_end = buffer_.find('\n');
+    if (line_end != std::string::npos) {
+      if (line_end == 0 || buffer_[line_end - 1] != '\r') return ReadResult::malformed;
+      line = buffer_.substr(0, line_end - 1);
+      buffer_.erase(0, line_end + 1);
       return is_text(line) ? ReadResult::whole : ReadResult::malformed;
     }
     if (buffer_.size() > kMaxHeadBytes) return ReadResult::malformed;
-    if (const ReadResult got = fill_until(limit, buffer_.size() + 1); got != ReadResult::whole)
-      return got == ReadResult::nothing ? ReadResult::cut : got;
+    if (const ReadResult result = fill_until(deadline, buffer_.size() + 1); result != ReadResult::whole)
+      return result == ReadResult::nothing ? ReadResult::cut : result;
   }
 }
 
-// Before a chunk's bytes: the end of the one before, the next one's size; after the last one the trailers.
-ReadResult Body::next_chunk(Reader& in, TimePoint limit) {
+// Reads what stands between the bytes of two chunks: the line end of the first chunk and the size of the
+// second one; after the last chunk the trailers.
+ReadResult Body::next_chunk(Reader& reader, TimePoint deadline) {
   if (chunk_state_ == ChunkState::end_of_data) {
     std::string line;
-    if (const ReadResult got = in.read_line(limit, line); got != ReadResult::whole) return got;
+    if (const ReadResult result = reader.read_line(deadline, line); result != ReadResult::whole)
+      return result;
     if (!line.empty()) return ReadResult::malformed;
     chunk_state_ = ChunkState::size;
   }
   if (chunk_state_ == ChunkState::size)
-    if (const ReadResult got = read_chunk_size(in, limit); got != ReadResult::whole) return got;
-  return chunk_state_ == ChunkState::trailers ? read_trailers(in, limit) : ReadResult::whole;
+    if (const ReadResult result = read_chunk_size(reader, deadline); result != ReadResult::whole)
+      return result;
+  return chunk_state_ == ChunkState::trailers ? read_trailers(reader, deadline) : ReadResult::whole;
 }
 
-ReadResult Body::read_chunk_size(Reader& in, TimePoint limit) {
+ReadResult Body::read_chunk_size(Reader& reader, TimePoint deadline) {
   std::string line;
-  if (const ReadResult got = in.read_line(limit, line); got != ReadResult::whole) return got;
+  if (const ReadResult result = reader.read_line(deadline, line); result != ReadResult::whole) return result;
   const std::string_view digits = trimmed(std::string_view(line).substr(0, line.find(';')));
   std::size_t size = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), size, 16);
@@ -270,41 +283,43 @@
   return ReadResult::whole;
 }
 
-ReadResult Body::read_trailers(Reader& in, TimePoint limit) {
+ReadResult Body::read_trailers(Reader& reader, TimePoint deadline) {
   for (; trailer_count_ < kMaxTrailers; ++trailer_count_) {
     std::string line;
-    if (const ReadResult got = in.read_line(limit, line); got != ReadResult::whole) return got;
+    if (const ReadResult result = reader.read_line(deadline, line); result != ReadResult::whole)
+      return result;
     if (line.empty()) return is_whole_ = true, ReadResult::whole;
   }
   return ReadResult::malformed;
 }
 
-ReadResult Body::next(Reader& in, TimePoint limit, std::string& into) {
+ReadResult Body::next(Reader& reader, TimePoint deadline, std::string& into) {
   if (is_whole_) return ReadResult::whole;
-  ReadResult got = ReadResult::whole;
+  ReadResult result = ReadResult::whole;
   if (framing_ == Framing::chunked && remaining_ == 0) {
-    got = next_chunk(in, limit);
-    if (got == ReadResult::nothing) got = ReadResult::cut;
-    if (got != ReadResult::whole || is_whole_) return got;
+    result = next_chunk(reader, deadline);
+    if (result == ReadResult::nothing) result = ReadResult::cut;
+    if (result != ReadResult::whole || is_whole_) return result;
   }
-  const std::size_t before = into.size();
-  got = in.read_up_to(limit, framing_ == Framing::to_end ? max_size_ + 1 : remaining_, into);
-  if (got == ReadResult::nothing && framing_ == Framing::to_end) return is_whole_ = true, ReadResult::whole;
-  if (got != ReadResult::whole) return got == ReadResult::nothing ? ReadResult::cut : got;
-  consumed_ += into.size() - before;
+  const std::size_t size_before = into.size();
+  result = reader.read_up_to(deadline, framing_ == Framing::to_end ? max_size_ + 1 : remaining_, into);
+  if (result == ReadResult::nothing && framing_ == Framing::to_end)
+    return is_whole_ = true, ReadResult::whole;
+  if (result != ReadResult::whole) return result == ReadResult::nothing ? ReadResult::cut : result;
+  consumed_ += into.size() - size_before;
   if (framing_ == Framing::to_end) return consumed_ > max_size_ ? ReadResult::too_large : ReadResult::whole;
-  remaining_ -= into.size() - before;
+  remaining_ -= into.size() - size_before;
   is_whole_ = framing_ == Framing::length && remaining_ == 0;
   return ReadResult::whole;
 }
 
-std::optional<Request> read_request_head(Reader& in, TimePoint limit, BadRequest& bad) {
+std::optional<Request> read_request_head(Reader& reader, TimePoint deadline, BadRequest& bad) {
   const auto refuse = [&](int status, RequestError cause) {
     bad = {status, cause};
     return std::nullopt;
   };
   Head head;
-  switch (in.read_head(limit, head, MessageKind::request)) {
+  switch (reader.read_head(deadline, head, MessageKind::request)) {
     case ReadResult::whole: break;
     case ReadResult::nothing: return refuse(0, RequestError::none);
     case ReadResult::cut: return refuse(0, RequestError::cut);
@@ -313,63 +328,65 @@
     case ReadResult::malformed: return refuse(400, RequestError::malformed);
     case ReadResult::too_large: return refuse(431, RequestError::too_large);
   }
-  Request r;
-  r.method = head.first[0];
-  r.target = head.first[1];
-  const auto visible = [](char c) { return c > ' ' && c < 127; };
-  if (!is_token(r.method) || (head.first[2] != "HTTP/1.1" && head.first[2] != "HTTP/1.0") ||
-      !std::all_of(r.target.begin(), r.target.end(), visible))
+  Request request;
+  request.method = head.first[0];
+  request.target = head.first[1];
+  const auto is_visible = [](char c) { return c > ' ' && c < 127; };
+  if (!is_token(request.method) || (head.first[2] != "HTTP/1.1" && head.first[2] != "HTTP/1.0") ||
+      !std::all_of(request.target.begin(), request.target.end(), is_visible))
     return refuse(400, RequestError::malformed);
-  // What names its server whole is the same request, and goes on without that.
-  if (const std::string_view path = path_of(r.target); !path.starts_with('/'))
+  // A target in absolute form is forwarded without scheme and authority.
+  if (const std::string_view path = path_of(request.target); !path.starts_with('/'))
     return refuse(400, RequestError::malformed);
-  else
-    r.target.erase(0, static_cast<std::size_t>(path.data() - r.target.data()));
-  r.is_http_1_0 = head.first[2] == "HTTP/1.0";
-  r.expects_continue = !r.is_http_1_0 && head.has_list_token("Expect", "100-continue");
-  r.keep_alive = head.first[2] == "HTTP/1.1" && !head.has_list_token("Connection", "close");
-  // Two lengths, or a length beside chunks, may be read differently behind this node: a second request could
-  // hide in the difference.
+  else request.target.erase(0, static_cast<std::size_t>(path.data() - request.target.data()));
+  request.is_http_1_0 = head.first[2] == "HTTP/1.0";
+  request.expects_continue = !request.is_http_1_0 && head.has_list_token("Expect", "100-continue");
+  request.keep_alive = head.first[2] == "HTTP/1.1" && !head.has_list_token("Connection", "close");
+  // Two lengths, or a length beside chunks, may be interpreted differently by a backend, which allows request
+  // smuggling.
   const std::size_t lengths = head.count("Content-Length");
   if (lengths > 1 || (lengths > 0 && head.count("Transfer-Encoding") > 0))
     return refuse(400, RequestError::two_lengths);
   const bool chunked = head.count("Transfer-Encoding") > 0;
-  if (chunked && (head.count("Transfer-Encoding") > 1 || r.is_http_1_0 ||
+  if (chunked && (head.count("Transfer-Encoding") > 1 || request.is_http_1_0 ||
                   !equals_ignoring_case(head.value("Transfer-Encoding"), "chunked")))
     return refuse(400, RequestError::wrong_field);
-  if (r.method != "GET" && r.method != "POST") return refuse(405, RequestError::wrong_method);
-  if (lengths == 0 && !chunked && r.method == "POST") return refuse(411, RequestError::no_length);
-  if (chunked) r.remaining_body = Body(Framing::chunked, 0, kMaxBodyBytes);
+  if (request.method != "GET" && request.method != "POST") return refuse(405, RequestError::wrong_method);
+  if (lengths == 0 && !chunked && request.method == "POST") return refuse(411, RequestError::no_length);
+  if (chunked) request.remaining_body = Body(Framing::chunked, 0, kMaxBodyBytes);
   if (lengths > 0) {
-    const auto told = parse_digits(head.value("Content-Length"));
-    if (!told) return refuse(400, RequestError::wrong_field);
-    if (*told > static_cast<std::int64_t>(kMaxBodyBytes)) return refuse(413, RequestError::too_large);
-    r.remaining_body = Body(Framing::length, static_cast<std::size_t>(*told), kMaxBodyBytes);
+    const auto length = parse_digits(head.value("Content-Length"));
+    if (!length) return refuse(400, RequestError::wrong_field);
+    if (*length > static_cast<std::int64_t>(kMaxBodyBytes)) return refuse(413, RequestError::too_large);
+    request.remaining_body = Body(Framing::length, static_cast<std::size_t>(*length), kMaxBodyBytes);
   }
-  const bool own = r.target == kReadyPath || r.target == kCountersPath;
-  if (!own) {
-    if (!parse_fields(head, r)) return refuse(400, RequestError::wrong_field);
-    const std::string_view path = std::string_view(r.target).substr(1);
-    r.workload = path.substr(0, path.find_first_of("/?#"));
-    for (const Header& h : head.headers)
-      if (is_forwarded(h.name)) r.forwarded_headers += h.line;
+  const bool is_node_path = request.target == kReadyPath || request.target == kCountersPath;
+  if (!is_node_path) {
+    if (!parse_fields(head, request)) return refuse(400, RequestError::wrong_field);
+    const std::string_view path = std::string_view(request.target).substr(1);
+    request.workload = path.substr(0, path.find_first_of("/?#"));
+    for (const Header& header : head.headers)
+      if (is_forwarded(header.name)) request.forwarded_headers += header.line;
   }
-  return r;
+  return request;
 }
 
-bool read_body(Reader& in, Request& r, BadRequest& bad, const std::function<TimePoint()>& limit,
-               const std::function<bool(std::size_t)>& room) {
+bool read_body(Reader& reader, Request& request, BadRequest& bad, const std::function<TimePoint()>& deadline,
+               const std::function<bool(std::size_t)>& take_capacity) {
   const auto refuse = [&](int status, RequestError cause) { return bad = {status, cause}, false; };
-  if (r.remaining_body.whole()) return true;
-  const bool short_one = r.remaining_body.framing() == Framing::length && r.remaining_body.left() <= kMaxBufferedRequestBytes;
+  if (request.remaining_body.whole()) return true;
+  const bool is_short = request.remaining_body.framing() == Framing::length &&
+                        request.remaining_body.left() <= kMaxBufferedRequestBytes;
   constexpr std::size_t kStep = 16 * 1024;
-  if (short_one && room(r.remaining_body.left())) r.body.reserve(r.remaining_body.left());
-  else if (short_one || !room(kStep)) return refuse(503, RequestError::no_room);
-  // The client may wait for a word before it sends the body.
-  if (r.expects_continue && !in.has_buffered_bytes() && !in.write_bytes("HTTP/1.1 100 Continue\r\n\r\n", limit()))
+  if (is_short && take_capacity(request.remaining_body.left()))
+    request.body.reserve(request.remaining_body.left());
+  else if (is_short || !take_capacity(kStep)) return refuse(503, RequestError::no_room);
+  // The client may wait for 100 Continue before it sends the body.
+  if (request.expects_continue && !reader.has_buffered_bytes() &&
+      !reader.write_bytes("HTTP/1.1 100 Continue\r\n\r\n", deadline()))
     return refuse(0, RequestError::cut);
-  for (std::size_t kept = kStep; !r.remaining_body.whole();) {
-    switch (r.remaining_body.next(in, limit(), r.body)) {
+  for (std::size_t reserved = kStep; !request.remaining_body.whole();) {
+    switch (request.remaining_body.next(reader, deadline(), request.body)) {
       case ReadResult::whole: break;
       case ReadResult::stalled:
       case ReadResult::late: return refuse(408, RequestError::slow);
@@ -377,77 +394,83 @@
       case ReadResult::too_large: return refuse(413, RequestError::too_large);
       default: return refuse(0, RequestError::cut);
     }
-    if (short_one || r.remaining_body.whole()) continue;
-    if (r.body.size() >= kMaxBufferedRequestBytes) return true;
-    // A piece is shorter than a step.
-    while (kept < r.body.size() + kStep / 2) {
-      if (!room(kStep)) return true;
-      kept += kStep;
+    if (is_short || request.remaining_body.whole()) continue;
+    if (request.body.size() >= kMaxBufferedRequestBytes) return true;
+    // Capacity is reserved ahead of the next piece, which is shorter than kStep.
+    while (reserved < request.body.size() + kStep / 2) {
+      if (!take_capacity(kStep)) return true;
+      reserved += kStep;
     }
   }
   return true;
 }
 
-std::string format_request_head(const Request& r, std::int64_t remaining_ms) {
-  // One that came in chunks and is here whole has a length.
-  const std::string framing = r.remaining_body.framing() != Framing::chunked ? ""
-                              : r.remaining_body.whole() ? fmt::format("Content-Length: {}\r\n", r.body.size())
-                                               : "Transfer-Encoding: chunked\r\n";
-  return fmt::format("{} {} HTTP/1.1\r\n{}{}{}: {}\r\n\r\n", r.method, r.target, r.forwarded_headers, framing, kRemainingMsHeader,
-                     remaining_ms);
+std::string format_request_head(const Request& request, std::int64_t remaining_ms) {
+  // A chunked body that is buffered whole is forwarded with its length.
+  const std::string framing = request.remaining_body.framing() != Framing::chunked ? ""
+                              : request.remaining_body.whole()
+                                  ? fmt::format("Content-Length: {}\r\n", request.body.size())
+                                  : "Transfer-Encoding: chunked\r\n";
+  return fmt::format("{} {} HTTP/1.1\r\n{}{}{}: {}\r\n\r\n", request.method, request.target,
+                     request.forwarded_headers, framing, kRemainingMsHeader, remaining_ms);
 }
 
 std::string frame_body_piece(const Body& remaining_body, std::string_view piece) {
   if (remaining_body.framing() != Framing::chunked) return std::string(piece);
-  std::string out;
-  if (!piece.empty()) out = fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
-  if (remaining_body.whole()) out += "0\r\n\r\n";
-  return out;
+  std::string framed;
+  if (!piece.empty()) framed = fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
+  if (remaining_body.whole()) framed += "0\r\n\r\n";
+  return framed;
 }
 
-ReadResult read_response_head(Reader& in, TimePoint limit, Response& r, Body& body, std::size_t most) {
+ReadResult read_response_head(Reader& reader, TimePoint deadline, Response& response, Body& body,
+                              std::size_t max_size) {
   Head head;
   for (int interim = 0;; ++interim) {
-    const ReadResult got = in.read_head(limit, head, MessageKind::response);
-    if (got != ReadResult::whole) return got;
+    const ReadResult result = reader.read_head(deadline, head, MessageKind::response);
+    if (result != ReadResult::whole) return result;
     const auto status = parse_digits(head.first[1]);
     if (interim > kMaxInterimHeads || (head.first[0] != "HTTP/1.1" && head.first[0] != "HTTP/1.0") ||
         head.first[1].size() != 3 || !status || *status < 100)
       return ReadResult::malformed;
-    r.status = static_cast<int>(*status);
-    if (r.status == 101) return ReadResult::malformed;
-    if (r.status >= 200) break;
+    response.status = static_cast<int>(*status);
+    if (response.status == 101) return ReadResult::malformed;
+    if (response.status >= 200) break;
   }
-  r.turned_away = (r.status == 503 || r.status == 504) && head.value(kTurnedAwayHeader) == "1";
-  r.keep_alive = head.first[0] == "HTTP/1.1" && !head.has_list_token("Connection", "close");
-  r.content_type = head.value("Content-Type");
+  response.turned_away =
+      (response.status == 503 || response.status == 504) && head.value(kTurnedAwayHeader) == "1";
+  response.keep_alive = head.first[0] == "HTTP/1.1" && !head.has_list_token("Connection", "close");
+  response.content_type = head.value("Content-Type");
   body = Body();
-  if (r.status == 204 || r.status == 304) return ReadResult::whole;
+  if (response.status == 204 || response.status == 304) return ReadResult::whole;
   const std::size_t lengths = head.count("Content-Length");
   if (head.count("Transfer-Encoding") > 0) {
     if (lengths > 0 || !head.has_list_token("Transfer-Encoding", "chunked")) return ReadResult::malformed;
-    return body = Body(Framing::chunked, 0, most), ReadResult::whole;
+    return body = Body(Framing::chunked, 0, max_size), ReadResult::whole;
   }
   if (lengths == 0) {
-    r.keep_alive = false;
-    return body = Body(Framing::to_end, 0, most), ReadResult::whole;
+    response.keep_alive = false;
+    return body = Body(Framing::to_end, 0, max_size), ReadResult::whole;
   }
   const auto length = parse_digits(head.value("Content-Length"));
   if (lengths > 1 || !length) return ReadResult::malformed;
-  if (*length > static_cast<std::int64_t>(most)) return ReadResult::too_large;
-  return body = Body(Framing::length, static_cast<std::size_t>(*length), most), ReadResult::whole;
+  if (*length > static_cast<std::int64_t>(max_size)) return ReadResult::too_large;
+  return body = Body(Framing::length, static_cast<std::size_t>(*length), max_size), ReadResult::whole;
 }
 
-ReadResult read_response(Reader& in, TimePoint limit, Response& r, std::size_t most) {
+ReadResult read_response(Reader& reader, TimePoint deadline, Response& response, std::size_t max_size) {
   Body body;
-  if (const ReadResult got = read_response_head(in, limit, r, body, most); got != ReadResult::whole) return got;
+  if (const ReadResult result = read_response_head(reader, deadline, response, body, max_size);
+      result != ReadResult::whole)
+    return result;
   while (!body.whole())
-    if (const ReadResult got = body.next(in, limit, r.body); got != ReadResult::whole) return got;
+    if (const ReadResult result = body.next(reader, deadline, response.body); result != ReadResult::whole)
+      return result;
   return ReadResult::whole;
 }
 
 std::string format_response_head(int status, std::string_view content_type, std::size_t size, bool keep_alive,
-                          std::string_view more_headers) {
+                                 std::string_view more_headers) {
   return fmt::format("HTTP/1.1 {} {}\r\n{}{}{}{}{}Content-Length: {}\r\n\r\n", status, reason_phrase(status),
                      content_type.empty() ? "" : "Content-Type: ", content_type,
                      content_type.empty() ? "" : kLineEnd, more_headers,
@@ -455,7 +478,8 @@
 }
 
 std::string format_streamed_head(std::string_view content_type, bool chunked, bool keep_alive) {
-  return fmt::format("HTTP/1.1 200 OK\r\n{}{}{}{}{}\r\n", content_type.empty() ? "" : "Content-Type: ", content_type,
+  return fmt::format("HTTP/1.1 200 OK\r\n{}{}{}{}{}\r\n",
+                     content_type.empty() ? "" : "Content-Type: ", content_type,
                      content_type.empty() ? "" : kLineEnd, keep_alive ? "" : "Connection: close\r\n",
                      chunked ? "Transfer-Encoding: chunked\r\n" : "");
 }
