--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -8,14 +8,16 @@
 namespace troutstage::net {
 namespace {
 
-constexpr std::chrono::minutes kForgetAfter{5};  // how a backend that is heard of no more behaved
+// What is known of a backend is dropped this long after its last record.
+constexpr std::chrono::minutes kForgetAfter{5};
 
 std::int64_t milliseconds_of(std::chrono::steady_clock::duration span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-// Half of what a connection may be idle is left for its use.
-policy::ReuseRules limited_by_idle_limit(policy::ReuseRules rules, std::chrono::steady_clock::duration idle_limit) {
+// Limits the cooldowns to half of the idle limit, so that at least the other half remains for reuse.
+policy::ReuseRules limited_by_idle_limit(policy::ReuseRules rules,
+                                         std::chrono::steady_clock::duration idle_limit) {
   rules.distrusted_cooldown = std::min(rules.distrusted_cooldown, idle_limit / 2);
   rules.unproven_cooldown = std::min(rules.unproven_cooldown, rules.distrusted_cooldown);
   rules.cooldown = std::min(rules.cooldown, rules.unproven_cooldown);
@@ -24,58 +26,66 @@
 
 }  // namespace
 
-ConnectionPool::ConnectionPool(ConnectionBudget& budget, std::chrono::steady_clock::duration idle_limit, const policy::ReuseRules& rules)
+ConnectionPool::ConnectionPool(ConnectionBudget& budget, std::chrono::steady_clock::duration idle_limit,
+                               const policy::ReuseRules& rules)
     : budget_(budget), idle_limit_(idle_limit), reuse_(limited_by_idle_limit(rules, idle_limit)) {}
 
-// Closed before it stops counting: the limit is on descriptors.
+// The descriptor is closed before it is given back to the budget, which limits open descriptors.
 ConnectionPool::Connection::~Connection() {
   fd_.reset();
   if (pool_ != nullptr) pool_->budget_.give_back(Side::backends);
 }
 
-// Whether nothing has come on one that nothing uses, and it is open. What has come makes its backend a suspect.
-bool ConnectionPool::is_quiet(std::uint64_t instance_id, const PooledConnection& one) {
-  const PeekResult unread = peek_socket(one.connection.fd());
+// Bytes on an idle connection are unsolicited and make the backend a suspect.
+bool ConnectionPool::is_quiet(std::uint64_t instance_id, const PooledConnection& pooled) {
+  const PeekResult unread = peek_socket(pooled.connection.fd());
   const TimePoint now = TimePoint::clock::now();
-  if (unread == PeekResult::bytes) record_unsolicited_bytes(instance_id, one.address, now - one.idle_since);
+  if (unread == PeekResult::bytes)
+    record_unsolicited_bytes(instance_id, pooled.address, now - pooled.idle_since);
   if (unread != PeekResult::none) return false;
-  std::lock_guard held(lock_);
-  reuse_.record_quiet(instance_id, now - one.idle_since, now);
+  std::lock_guard guard(lock_);
+  reuse_.record_quiet(instance_id, now - pooled.idle_since, now);
   return true;
 }
 
-void ConnectionPool::record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address, std::chrono::steady_clock::duration rested) {
-  std::deque<PooledConnection> suspect;  // closed after the lock is free
+void ConnectionPool::record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address,
+                                              std::chrono::steady_clock::duration rested) {
+  std::deque<PooledConnection> to_close;  // closed after the lock is released
   {
-    std::lock_guard held(lock_);
+    std::lock_guard guard(lock_);
     reuse_.record_unsolicited_bytes(instance_id, TimePoint::clock::now());
-    if (const auto at = idle_.find(instance_id); at != idle_.end()) {
-      suspect.swap(at->second);
-      idle_.erase(at);
+    if (const auto entry = idle_.find(instance_id); entry != idle_.end()) {
+      to_close.swap(entry->second);
+      idle_.erase(entry);
     }
   }
   ++unsolicited_count_;
   log::event("backend_spoke_unasked", {{"backend", std::string_view(address_text(unpack_address(address)))},
-                                       {"rested_ms", milliseconds_of(rested)}, {"closed", std::uint64_t{suspect.size()}}});
+                                       {"rested_ms", milliseconds_of(rested)},
+                                       {"closed", std::uint64_t{to_close.size()}}});
 }
 
-std::optional<ConnectionPool::Connection> ConnectionPool::take_idle(std::uint64_t instance_id, std::uint64_t address) {
-  // The last one used is taken first, so that those that are too many grow old and go.
+std::optional<ConnectionPool::Connection> ConnectionPool::take_idle(std::uint64_t instance_id,
+                                                                    std::uint64_t address) {
+  // The connection used last is taken first, so that surplus connections expire.
   for (;;) {
     std::optional<PooledConnection> found;
     {
-      std::lock_guard held(lock_);
-      const auto at = idle_.find(instance_id);
-      if (at == idle_.end()) return std::nullopt;
-      const TimePoint rested = TimePoint::clock::now() - reuse_.cooldown(instance_id);
-      const auto one = std::find_if(at->second.rbegin(), at->second.rend(),
-                                    [&](const PooledConnection& idle) { return idle.idle_since <= rested; });
-      if (one == at->second.rend()) return std::nullopt;
-      found.emplace(std::move(*one));
-      at->second.erase(std::next(one).base());
+      std::lock_guard guard(lock_);
+      const auto entry = idle_.find(instance_id);
+      if (entry == idle_.end()) return std::nullopt;
+      const TimePoint idle_before = TimePoint::clock::now() - reuse_.cooldown(instance_id);
+      const auto match = std::find_if(
+          entry->second.rbegin(), entry->second.rend(),
+          [&](const PooledConnection& candidate) { return candidate.idle_since <= idle_before; });
+      if (match == entry->second.rend()) return std::nullopt;
+      found.emplace(std::move(*match));
+      entry->second.erase(std::next(match).base());
     }
-    // A backend closes it at the stated idle time: what is written to it then is lost, and may count as run.
-    if (found->address == address && TimePoint::clock::now() - found->idle_since < idle_limit_ && is_quiet(instance_id, *found))
+    // The backend closes the connection at its stated idle time: a request written then is lost, and may
+    // count as executed.
+    if (found->address == address && TimePoint::clock::now() - found->idle_since < idle_limit_ &&
+        is_quiet(instance_id, *found))
       return std::move(found->connection);
   }
 }
@@ -89,77 +99,83 @@
 }
 
 bool ConnectionPool::close_oldest_idle() {
-  std::optional<PooledConnection> oldest;  // closed after the lock is free
-  std::lock_guard held(lock_);
-  auto from = idle_.end();
-  for (auto at = idle_.begin(); at != idle_.end(); ++at)
-    if (!at->second.empty() && (from == idle_.end() || at->second.front().idle_since < from->second.front().idle_since))
-      from = at;
-  if (from == idle_.end()) return false;
-  oldest.emplace(std::move(from->second.front()));
-  from->second.pop_front();
+  std::optional<PooledConnection> oldest;  // closed after the lock is released
+  std::lock_guard guard(lock_);
+  auto oldest_entry = idle_.end();
+  for (auto entry = idle_.begin(); entry != idle_.end(); ++entry)
+    if (!entry->second.empty() &&
+        (oldest_entry == idle_.end() ||
+         entry->second.front().idle_since < oldest_entry->second.front().idle_since))
+      oldest_entry = entry;
+  if (oldest_entry == idle_.end()) return false;
+  oldest.emplace(std::move(oldest_entry->second.front()));
+  oldest_entry->second.pop_front();
   return true;
 }
 
 void ConnectionPool::give_back(std::uint64_t instance_id, std::uint64_t address, Connection connection) {
   const TimePoint now = TimePoint::clock::now();
-  PooledConnection one{address, now, std::move(connection)};  // closed after the lock is free, where it is not kept
-  std::lock_guard held(lock_);
-  if (reuse_.may_keep_connections(instance_id, now)) idle_[instance_id].push_back(std::move(one));
+  // Declared before the lock, so that a connection that is not kept is closed after the lock is released.
+  PooledConnection pooled{address, now, std::move(connection)};
+  std::lock_guard guard(lock_);
+  if (reuse_.may_keep_connections(instance_id, now)) idle_[instance_id].push_back(std::move(pooled));
 }
 
 void ConnectionPool::close_expired() {
   check_rested();
   close_expired(idle_limit_);
-  std::lock_guard held(lock_);
+  std::lock_guard guard(lock_);
   reuse_.forget_before(TimePoint::clock::now() - kForgetAfter);
 }
 
-// A backend that answers twice is found out here, before its second copy meets another request.
+// Detects a backend that answers twice before its second answer is taken for the answer to another request.
 void ConnectionPool::check_rested() {
   std::vector<std::pair<std::uint64_t, PooledConnection>> rested;
   {
-    std::lock_guard held(lock_);
+    std::lock_guard guard(lock_);
     const TimePoint now = TimePoint::clock::now();
-    for (auto& [instance_id, all] : idle_) {
-      const TimePoint before = now - reuse_.proving_cooldown(instance_id);
-      for (auto one = all.begin(); one != all.end() && one->idle_since <= before;) {
-        if (one->was_checked) {
-          ++one;
+    for (auto& [instance_id, connections] : idle_) {
+      const TimePoint idle_before = now - reuse_.proving_cooldown(instance_id);
+      for (auto pooled = connections.begin();
+           pooled != connections.end() && pooled->idle_since <= idle_before;) {
+        if (pooled->was_checked) {
+          ++pooled;
           continue;
         }
-        rested.emplace_back(instance_id, std::move(*one));
-        one = all.erase(one);
+        rested.emplace_back(instance_id, std::move(*pooled));
+        pooled = connections.erase(pooled);
       }
     }
   }
-  for (auto& [instance_id, one] : rested) {
-    if (!is_quiet(instance_id, one)) continue;
-    one.was_checked = true;
-    std::lock_guard held(lock_);
+  for (auto& [instance_id, pooled] : rested) {
+    if (!is_quiet(instance_id, pooled)) continue;
+    pooled.was_checked = true;
+    std::lock_guard guard(lock_);
     if (!reuse_.may_keep_connections(instance_id, TimePoint::clock::now())) continue;
-    std::deque<PooledConnection>& all = idle_[instance_id];
-    const auto later = std::upper_bound(all.begin(), all.end(), one.idle_since,
-                                        [](TimePoint idle_since, const PooledConnection& other) { return idle_since < other.idle_since; });
-    all.insert(later, std::move(one));
+    std::deque<PooledConnection>& connections = idle_[instance_id];
+    const auto position = std::upper_bound(
+        connections.begin(), connections.end(), pooled.idle_since,
+        [](TimePoint idle_since, const PooledConnection& other) { return idle_since < other.idle_since; });
+    connections.insert(position, std::move(pooled));
   }
 }
 
-void ConnectionPool::close_expired(std::chrono::steady_clock::duration idle) {
-  std::vector<std::pair<std::uint64_t, PooledConnection>> old;  // closed after the lock is free
+void ConnectionPool::close_expired(std::chrono::steady_clock::duration max_idle) {
+  std::vector<std::pair<std::uint64_t, PooledConnection>> expired;  // closed after the lock is released
   {
-    std::lock_guard held(lock_);
-    const TimePoint before = TimePoint::clock::now() - idle;
-    for (auto at = idle_.begin(); at != idle_.end();) {
-      std::deque<PooledConnection>& all = at->second;
-      while (!all.empty() && all.front().idle_since <= before) {
-        old.emplace_back(at->first, std::move(all.front()));
-        all.pop_front();
+    std::lock_guard guard(lock_);
+    const TimePoint idle_before = TimePoint::clock::now() - max_idle;
+    for (auto entry = idle_.begin(); entry != idle_.end();) {
+      std::deque<PooledConnection>& connections = entry->second;
+      while (!connections.empty() && connections.front().idle_since <= idle_before) {
+        expired.emplace_back(entry->first, std::move(connections.front()));
+        connections.pop_front();
       }
-      at = all.empty() ? idle_.erase(at) : std::next(at);  // no entry stays for a backend that is gone
+      // Removed backends leave no entry behind.
+      entry = connections.empty() ? idle_.erase(entry) : std::next(entry);
     }
   }
-  for (const auto& [instance_id, one] : old) is_quiet(instance_id, one);
+  for (const auto& [instance_id, pooled] : expired) is_quiet(instance_id, pooled);
 }
 
 }  // namespace troutstage::net
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -1,4 +1,5 @@
-// The connections to backends: how many there may be, and those that nothing uses.
+// The connections to backends: counts them against the node's budget and keeps the idle connections for
+// reuse.
 #pragma once
 
 #include <atomic>
@@ -14,9 +15,10 @@
 
 namespace troutstage::net {
 
+// Any thread may call any member.
 class ConnectionPool {
  public:
-  // A connection that counts against the limit for as long as it is there.
+  // Owns one connection, which counts against the budget until the object is destroyed.
   class Connection {
    public:
     Connection(Connection&& o) noexcept : pool_(std::exchange(o.pool_, nullptr)), fd_(std::move(o.fd_)) {}
@@ -34,36 +36,52 @@
     Fd fd_;
   };
 
-  ConnectionPool(ConnectionBudget& budget, std::chrono::steady_clock::duration idle_limit, const policy::ReuseRules& rules);
+  // `idle_limit`: idle connections are closed after this time, before backends close them.
+  ConnectionPool(ConnectionBudget& budget, std::chrono::steady_clock::duration idle_limit,
+                 const policy::ReuseRules& rules);
 
-  // By the life of a backend: what is gone can be found no more, whoever has its address or number now.
-  std::optional<Connection> take_idle(std::uint64_t instance_id, std::uint64_t address);  // one that is open and quiet
-  std::optional<Connection> open_new();  // a socket not yet connected; nothing where no more may be had
+  // Connections are found by the instance id of a backend, so those of a removed backend are never used for
+  // another one that has its address or index now.
+
+  // An open connection without unread bytes that has been idle for its cooldown; empty: none.
+  std::optional<Connection> take_idle(std::uint64_t instance_id, std::uint64_t address);
+  // A socket that is not connected yet; empty: the budget or the system allows no more, even after closing
+  // idle connections.
+  std::optional<Connection> open_new();
+  // Keeps the connection for reuse, or closes it if the backend has sent unsolicited bytes recently.
   void give_back(std::uint64_t instance_id, std::uint64_t address, Connection connection);
-  // Bytes came from this backend that belong to no request: what else rests there is closed.
-  void record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address, std::chrono::steady_clock::duration rested);
-  bool close_oldest_idle();  // closes the one that has been idle the longest; false: none is
-  // Closes what has been idle for too long, and looks once at what has rested for as long as it has to.
+  // The backend sent bytes that belong to no request, on a connection that had been idle for `rested`: closes
+  // all idle connections to the backend.
+  void record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address,
+                                std::chrono::steady_clock::duration rested);
+  bool close_oldest_idle();  // closes the connection that has been idle the longest; false: none is idle
+  // Closes connections that have been idle for the idle limit, and checks each other one once after its
+  // proving time.
   void close_expired();
-  void close_expired(std::chrono::steady_clock::duration idle);  // for longer than that
-  std::uint64_t unsolicited_count() const { return unsolicited_count_; }  // how often a backend was seen to send what nobody asked for
+  void close_expired(std::chrono::steady_clock::duration max_idle);  // closes those idle for `max_idle`
+  // How often unsolicited bytes were found.
+  std::uint64_t unsolicited_count() const { return unsolicited_count_; }
 
  private:
+  // An idle connection.
   struct PooledConnection {
     std::uint64_t address;
     TimePoint idle_since;
     Connection connection;
-    bool was_checked = false;
+    bool was_checked = false;  // by check_rested()
   };
-  using ByInstance = std::map<std::uint64_t, std::deque<PooledConnection>>;  // the newest last
-  bool is_quiet(std::uint64_t instance_id, const PooledConnection& one);
+  // By instance id; the connection used last is at the end of its queue.
+  using ByInstance = std::map<std::uint64_t, std::deque<PooledConnection>>;
+  // Whether the connection is open and nothing is unread. Reports what it finds to reuse_.
+  bool is_quiet(std::uint64_t instance_id, const PooledConnection& pooled);
+  // Checks each connection once that has been idle for the proving time of its backend.
   void check_rested();
 
-  std::mutex lock_;  // never held while a connection is looked at or closed
+  std::mutex lock_;  // never held while a connection is checked or closed
   ConnectionBudget& budget_;
   const std::chrono::steady_clock::duration idle_limit_;
   policy::ConnectionReuse reuse_;  // guarded by lock_
-  ByInstance idle_;                    // the same
+  ByInstance idle_;                // guarded by lock_
   std::atomic<std::uint64_t> unsolicited_count_{0};
 };
 
