--- a/src/net/watch.h
+++ b/src/net/watch.h
@@ -1,4 +1,4 @@
-// Follows discovery's list for the decisions, for as long as they want it watched.
+// Follows the list of discovery by long polls and passes each list to the balancer.
 #pragma once
 
 #include <condition_variable>
@@ -14,37 +14,44 @@
 
 namespace troutstage::net {
 
+// One thread calls run(); any thread may call stop() and move().
 class DiscoveryWatch {
  public:
-  DiscoveryWatch(core::Balancer& balancer, BackendDirectory& directory, Counters& counters, const sockaddr_in& discovery,
-        std::int64_t version, std::uint64_t seed, std::function<void()> on_list = {})
+  // `version`: of the list that the node already has; kNoVersion: none. `on_list` is called after each list,
+  // by the thread of run().
+  DiscoveryWatch(core::Balancer& balancer, BackendDirectory& directory, Counters& counters,
+                 const sockaddr_in& discovery, std::int64_t version, std::uint64_t seed,
+                 std::function<void()> on_list = {})
       : balancer_(balancer), directory_(directory), counters_(counters), discovery_(discovery),
         version_(version), schedule_(seed), on_list_(std::move(on_list)) {}
-  void run();                               // until stop() here and at the balancer
-  void stop();                              // ends a call that is out
-  void move(const sockaddr_in& discovery);  // the same, and goes on at another place from its whole list on
+  void run();   // blocks until the balancer requests the watch, then polls until stop()
+  void stop();  // makes run() return; interrupts a poll that is in progress
+  // Interrupts the poll and continues at another address with its whole list.
+  void move(const sockaddr_in& discovery);
 
  private:
-  static constexpr std::int64_t kNoVersion = -1;  // no version is known
+  static constexpr std::int64_t kNoVersion = -1;  // requests the whole list
 
   using PollResult = core::DiscoverySchedule::PollResult;
-  void poll_until_stopped();  // until stop()
-  void pause(std::chrono::microseconds time);  // unless it is over, or goes on at another place
-  PollResult poll_on_one_connection(const sockaddr_in& discovery, SocketInterrupter& shutter);
+  void poll_until_stopped();                                    // returns after stop()
+  void wait_between_polls(std::chrono::microseconds duration);  // returns early on stop() and move()
+  // Polls on one connection for as long as answers come; returns what became of the last poll.
+  PollResult poll_on_one_connection(const sockaddr_in& discovery, SocketInterrupter& interrupter);
 
   core::Balancer& balancer_;
   BackendDirectory& directory_;
   Counters& counters_;
-  std::mutex lock_;  // over the place, how to end its calls, and whether it is over; told of by changed_
+  std::mutex lock_;  // guards discovery_, interrupter_, has_moved_ and stopped_; changed_ signals changes
   std::condition_variable changed_;
   sockaddr_in discovery_;
-  std::shared_ptr<SocketInterrupter> interrupter_ = std::make_shared<SocketInterrupter>();  // a new one for each place
+  // Replaced for each address of discovery.
+  std::shared_ptr<SocketInterrupter> interrupter_ = std::make_shared<SocketInterrupter>();
   bool has_moved_ = false, stopped_ = false;
-  bool was_requested_ = false;  // run()'s own
-  std::int64_t version_;  // this and the next two: used by run() alone
+  bool was_requested_ = false;  // used by run() only
+  std::int64_t version_;        // of the list in force; this and the next two are used by run() only
   core::DiscoverySchedule schedule_;
   core::DiscoverySchedule::NextPoll next_ = schedule_.first();
-  const std::function<void()> on_list_;  // after each list that was told
+  const std::function<void()> on_list_;  // called after each list that the balancer was given
 };
 
 }  // namespace troutstage::net
