--- a/src/net/failures.cpp
+++ b/src/net/failures.cpp
@@ -44,9 +44,10 @@
 void record_shortage(std::string_view call, int error) {
   const std::uint64_t count = ++recorded_shortages;
   const TimePoint now = TimePoint::clock::now();
-  TimePoint::rep due = next_log_time;
-  if (now.time_since_epoch().count() < due) return;
-  if (!next_log_time.compare_exchange_strong(due, (now + kLogInterval).time_since_epoch().count())) return;
+  TimePoint::rep next_allowed = next_log_time;
+  if (now.time_since_epoch().count() < next_allowed) return;
+  if (!next_log_time.compare_exchange_strong(next_allowed, (now + kLogInterval).time_since_epoch().count()))
+    return;
   log::warning("short of something: {}: {} ({} times so far)", call, std::generic_category().message(error),
                count);
 }
--- a/src/net/failures.h
+++ b/src/net/failures.h
@@ -1,6 +1,7 @@
-// What a failed system call says, and what its caller may do about it. A call that fails says nothing of the
-// other side of a connection unless its error does: it is tried again, or its caller goes on as if it knew
-// nothing.
+// Classifies the errors of failed system calls and repeats calls that failed for a reason that passes.
+//
+// A failed call says nothing about the peer of a connection unless its errno does. The caller repeats such a
+// call, or proceeds as if the call had given no information.
 #pragma once
 
 #include <array>
@@ -14,35 +15,40 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
+// What the caller of a failed system call may do about its error.
 enum class ErrorClass {
-  interrupted,  // by a signal: call again
-  not_ready,    // nothing there yet, or no room: wait for it
-  shortage,     // this machine is short of something for a moment: wait a little, make room, call again
-  other         // the error stands for itself
+  interrupted,  // by a signal: repeat the call
+  not_ready,    // nothing to read, or no buffer space, yet: wait for the descriptor
+  shortage,     // no descriptor, memory or buffer on this machine for a moment: pause, free some, repeat
+  other         // does not pass by itself: the caller handles this error
 };
 ErrorClass classify_errno(int error);
 
-// Pauses between calls that fail for a moment: 1 ms at first, up to 10 ms later.
+// Sleeps between repeated calls: 1 ms at first, then twice as long each time, up to 10 ms. Not thread-safe.
 class Backoff {
  public:
   explicit Backoff(TimePoint limit) : limit_(limit) {}
-  bool pause();  // false: the limit has come, and there was no pause
+  bool pause();  // false: the limit has passed, and the call did not sleep
 
  private:
   const TimePoint limit_;
   std::chrono::milliseconds next_{1};
 };
 
-// Counts a shortage for the process, and logs it, once a second at most.
+// Counts a shortage for the whole process, and logs at most one line a second. `call` names the system call
+// and `error` is its errno. Thread-safe.
 void record_shortage(std::string_view call, int error);
-std::uint64_t shortages();  // noted since the process began
+std::uint64_t shortages();  // recorded since the process started
 
-// Calls that make something that a node can't start without: repeated through a shortage for some seconds.
-// `call` returns whether it succeeded and leaves its error in errno otherwise; what it throws is passed on.
+// For resources that a node can't start without.
 inline constexpr std::chrono::milliseconds kStartRetryTime{3000};
+// Repeats a call while it fails with an interrupt or a shortage. `call` returns whether the call succeeded,
+// and leaves its error in errno otherwise; `name` is the name of the system call for the log. Returns false,
+// with that errno, after any other error or when the retry time is over. Exceptions from `call` propagate.
 template <class Call>
-bool retry_on_shortage(std::string_view name, Call call, std::chrono::milliseconds patience = kStartRetryTime) {
-  Backoff backoff(TimePoint::clock::now() + patience);
+bool retry_on_shortage(std::string_view name, Call call,
+                       std::chrono::milliseconds retry_time = kStartRetryTime) {
+  Backoff backoff(TimePoint::clock::now() + retry_time);
   while (!call()) {
     const int error = errno;
     const ErrorClass failure = classify_errno(error);
--- a/src/net/file_reader.cpp
+++ b/src/net/file_reader.cpp
@@ -16,26 +16,27 @@
 
 void FileReader::start_read(const std::string& path) {
   std::uint64_t number = 0;
-  bool may_begin = false;
+  bool may_start = false;
   {
     std::lock_guard held(state_->lock);
     number = ++state_->last_requested;
-    may_begin = state_->reads_in_progress < kMaxReadsInProgress;
+    may_start = state_->reads_in_progress < kMaxReadsInProgress;
     ++state_->reads_in_progress;
   }
-  if (!may_begin) return complete(*state_, number, {path, "", "earlier reads of it have not ended"});
+  if (!may_start) return complete(*state_, number, {path, "", "too many earlier reads have not ended"});
   try {
     std::thread(read, state_, number, FileReadResult{path, "", ""}).detach();
-  } catch (const std::system_error& failed) {
-    complete(*state_, number, {path, "", failed.what()});
+  } catch (const std::system_error& error) {
+    complete(*state_, number, {path, "", error.what()});
   }
 }
 
-void FileReader::read(const std::shared_ptr<SharedState>& state, std::uint64_t number, FileReadResult result) {
+void FileReader::read(const std::shared_ptr<SharedState>& state, std::uint64_t number,
+                      FileReadResult result) {
   try {
     result.text = read_file(result.path);
-  } catch (const std::exception& failed) {
-    result.error = failed.what();
+  } catch (const std::exception& error) {
+    result.error = error.what();
   }
   complete(*state, number, std::move(result));
 }
@@ -43,15 +44,16 @@
 void FileReader::complete(SharedState& state, std::uint64_t number, FileReadResult result) {
   std::lock_guard held(state.lock);
   --state.reads_in_progress;
-  if (number < state.last_finished) return;  // a later one was quicker, and holds
+  if (number < state.last_finished) return;  // a newer read ended first, and its result stays
   state.last_finished = number;
   state.result = std::move(result);
   state.changed.notify_all();
 }
 
-std::optional<FileReadResult> FileReader::next() {
+std::optional<FileReadResult> FileReader::wait_for_result() {
   std::unique_lock held(state_->lock);
-  state_->changed.wait(held, [this] { return state_->stopped || state_->last_finished > state_->last_returned; });
+  state_->changed.wait(held,
+                       [this] { return state_->stopped || state_->last_finished > state_->last_returned; });
   if (state_->stopped) return std::nullopt;
   state_->last_returned = state_->last_finished;
   return state_->result;
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -14,42 +14,58 @@
 namespace troutstage::net {
 namespace {
 
+// The node's clock starts at this value.
 constexpr TenthsOfMs kDay = 24 * 3600 * TenthsOfMs{10000};
-constexpr std::chrono::milliseconds kPollInterval{50};    // how often the listener looks whether it is still wanted
-constexpr std::chrono::milliseconds kSlowReadTime{500};   // a request is slow to come after this
-constexpr std::chrono::milliseconds kMinReportedStall{50};  // pauses of the process that are counted and logged
-constexpr std::chrono::milliseconds kThreadRestartDelay{10};  // before a thread that broke goes on
-constexpr std::chrono::milliseconds kAcceptRetryDelay{1}, kAcceptShortageDelay{10};  // before accepting again after a failure
-// A shortage that lasts for so many tries is not over in a moment: room is made, at last also by what has said nothing yet.
+// Interval at which the accepting and the housekeeping thread check the state of the node.
+constexpr std::chrono::milliseconds kPollInterval{50};
+constexpr std::chrono::milliseconds kSlowReadTime{500};  // a request that takes longer to arrive is slow
+// Stalls of the process from this length on are counted and logged.
+constexpr std::chrono::milliseconds kMinReportedStall{50};
+// Before a thread whose job threw an exception restarts.
+constexpr std::chrono::milliseconds kThreadRestartDelay{10};
+// Before accepting again after a failure.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{1}, kAcceptShortageDelay{10};
+// A shortage that lasts for this many accept calls in a row will not pass in a moment: idle connections are
+// closed, and after the second number of calls also connections on which nothing has arrived yet.
 constexpr int kShortagesBeforeClosingIdle = 3, kShortagesBeforeClosingNew = 12;
-constexpr std::chrono::milliseconds kMaxLeaveWait{500};  // for the other nodes to hear that this one leaves
-// The front hears of a drain within some tenths of a second and sends new connections until then: what is
-// idle is let go after that, and long before it would count as held.
+// For the other nodes to learn that this node leaves.
+constexpr std::chrono::milliseconds kMaxLeaveWait{500};
+// The load balancer in front of the nodes learns of a drain within some tenths of a second, and opens new
+// connections until then. Idle connections are closed after that, and long before they would count as still
+// in use.
 constexpr std::chrono::milliseconds kDrainNoticeTime{1000};
-constexpr std::chrono::milliseconds kMaxHeadTime{2500};  // a client's that is served all the same
-constexpr std::size_t kIdleShareDivisor = 10;            // connections of a node that stops
-// Listener, watch, log, vigil and a few to spare.
+// Time limit for the head of a request, the same as for a client connection. In a hand-over slow reads are
+// aborted only after this time.
+constexpr std::chrono::milliseconds kMaxHeadTime{2500};
+// A node that stops keeps one in this many of its reused client connections idle.
+constexpr std::size_t kIdleShareDivisor = 10;
+// Descriptors that a node needs besides connections: listener, discovery watch, log, disconnect monitor and a
+// few to spare; and what each process of a pair needs in addition.
 constexpr std::size_t kBaseDescriptors = 10, kPairDescriptors = 4;
 
-// So many are kept for clients whose request can only be turned away, so that none is left waiting unread.
+// Number of descriptors that are kept for client connections beyond the budget. Their requests are rejected,
+// so that no request waits unread.
 std::size_t rejection_reserve(const Config& config) { return 8 + config.descriptors / 64; }
 
-// Where another process may run beside this one, what each needs for itself is set aside for both at all times.
+// Number of connections, to clients and backends together, for which there are descriptors. If another
+// process of this node may run, what each process needs for itself is set aside for both at all times.
 std::size_t connection_budget(const Config& config) {
-  const std::size_t own = kBaseDescriptors + config.own_descriptors + rejection_reserve(config);
-  const std::size_t set_aside = config.passed_socket < 0 ? own : 2 * (own + kPairDescriptors);
+  const std::size_t for_each_process = kBaseDescriptors + config.own_descriptors + rejection_reserve(config);
+  const std::size_t set_aside =
+      config.passed_socket < 0 ? for_each_process : 2 * (for_each_process + kPairDescriptors);
   return std::max<std::size_t>(8, config.descriptors - std::min(config.descriptors, set_aside));
 }
 
-// Where a successor can't reach discovery it serves with the list that it was started with.
+// A successor that can't reach discovery within this time serves with the list of backends that the successor
+// was started with.
 constexpr std::chrono::milliseconds kSuccessorListWait{3000};
 
 std::unique_ptr<ProcessPair> make_process_pair(Config& config) {
   if (config.passed_socket < 0) return nullptr;
-  auto sibling = std::make_unique<ProcessPair>(config.scratch, config.name);
-  // All processes of this node together send cold backends what one may.
-  if (sibling->is_successor()) config.settings.slow_start_budget_share = 0.5;
-  return sibling;
+  auto pair = std::make_unique<ProcessPair>(config.scratch, config.name);
+  // Both processes of a node together send backends in slow start what one process may send.
+  if (pair->is_successor()) config.settings.slow_start_budget_share = 0.5;
+  return pair;
 }
 
 Fd open_listener(const Config& config) {
@@ -57,26 +73,27 @@
   return config.passed_socket < 0 ? listen_on(address) : inherited_listener(config.passed_socket, address);
 }
 
-
-// Neither side gets more than two thirds. One that is worked for takes the touched part of two stacks and its
-// buffers beside its bodies: so many must fit into half of the memory, and all bodies of requests into a
-// quarter.
+// Neither clients nor backends get more than two thirds of the connections. A client connection that is being
+// served takes 64 KiB besides its bodies, for the used part of two stacks and for buffers: all client
+// connections must fit into half of the memory, and all request bodies into a quarter.
 std::size_t max_clients(const Config& config) {
-  constexpr std::size_t kEach = 64 * 1024;
+  constexpr std::size_t kBytesEach = 64 * 1024;
   return std::max<std::size_t>(
-      2, std::min(connection_budget(config) / 3 * 2, config.memory_mb * 1024 * 1024 / 2 / kEach));
+      2, std::min(connection_budget(config) / 3 * 2, config.memory_mb * 1024 * 1024 / 2 / kBytesEach));
 }
 
-// Of those that nobody works for. Idle ones are kept for what usual clients need: half of the third of the
-// descriptors that they may hold. Of those that asked only once fewer are kept: closed as the oldest among
-// all, the usual clients' connections went first, and nearly every request came on a new one.
+// How many client connections may wait without a thread, for each thing that they wait for. Connections that
+// have served several requests may take half of the third of the descriptors that regular clients may hold.
+// Connections that have served only one request get fewer: when the oldest connection of both kinds was
+// closed, the regular clients' connections went first, and nearly every request came on a new connection.
 IdleConnections::MaxWaiting max_waiting(const Config& config) {
-  const std::size_t all = max_clients(config);
-  const auto some = [&](std::size_t n) { return std::max<std::size_t>(2, std::min(all, n)); };
-  return {all / 3, some(config.descriptors / 12), some(config.descriptors / 6), all / 3};
+  const std::size_t max_all = max_clients(config);
+  const auto clamped = [&](std::size_t n) { return std::max<std::size_t>(2, std::min(max_all, n)); };
+  return {max_all / 3, clamped(config.descriptors / 12), clamped(config.descriptors / 6), max_all / 3};
 }
 
-// A connection is retired before the backend closes it: a tenth earlier, half a second at the least.
+// How long a connection to a backend may be idle. The node closes the connection before the backend does: a
+// tenth of `keepalive` earlier, but at least 0.5 s, and no earlier than after half of `keepalive`.
 std::chrono::microseconds idle_connection_limit(TenthsOfMs keepalive) {
   return std::chrono::microseconds(
       std::max<TenthsOfMs>(keepalive / 2, keepalive - std::max<TenthsOfMs>(5000, keepalive / 10)) * 100);
@@ -92,40 +109,55 @@
 TenthsOfMs SteadyClock::to_ticks(TimePoint when) const {
   return kDay + std::chrono::duration_cast<std::chrono::microseconds>(when - start_).count() / 100;
 }
-TimePoint SteadyClock::at(TenthsOfMs when) const { return start_ + std::chrono::microseconds((when - kDay) * 100); }
+TimePoint SteadyClock::at(TenthsOfMs when) const {
+  return start_ + std::chrono::microseconds((when - kDay) * 100);
+}
 
 Node::Node(Config config)
-    : config_(std::move(config)), process_pair_(make_process_pair(config_)), balancer_(config_.settings, clock_), directory_(config_.names, clock_.wall_offset()),
+    : config_(std::move(config)), process_pair_(make_process_pair(config_)),
+      balancer_(config_.settings, clock_), directory_(config_.names, clock_.wall_offset()),
       budget_(connection_budget(config_), max_clients(config_), connection_budget(config_) / 3 * 2,
               process_pair_ ? process_pair_->shared_usage() : unpaired_usage_),
-      bytes_(config_.memory_mb * 1024 * 1024 / 4, process_pair_ ? process_pair_->shared_usage() : unpaired_usage_),
-      pool_(budget_, idle_connection_limit(config_.settings.keepalive), policy::ReuseRules{}), disconnect_monitor_(balancer_),
-      listener_(open_listener(config_)), rejection_reserve_(rejection_reserve(config_)),
-      idle_connections_([this](const std::shared_ptr<ClientConnection>& client) { return run_client(client); }, max_waiting(config_),
-             [this](std::chrono::milliseconds gap) {
-               if (gap >= kMinReportedStall) counters_.record_stall(gap);
-             }),
-      hand_off_threads_(2 * connection_budget(config_)), client_threads_(2 * connection_budget(config_)), internal_threads_(9) {
-  DiscoveryList known;
-  if (!config_.known.empty()) known = directory_.read(config_.known);
-  watch_ = std::make_unique<DiscoveryWatch>(balancer_, directory_, counters_, parse_address(config_.discovery),
-                                   known.version, config_.settings.seed, [this] { node_state_.mark_started(); });
+      bytes_(config_.memory_mb * 1024 * 1024 / 4,
+             process_pair_ ? process_pair_->shared_usage() : unpaired_usage_),
+      pool_(budget_, idle_connection_limit(config_.settings.keepalive), policy::ReuseRules{}),
+      disconnect_monitor_(balancer_), listener_(open_listener(config_)),
+      rejection_reserve_(rejection_reserve(config_)),
+      idle_connections_(
+          [this](const std::shared_ptr<ClientConnection>& client) { return run_client(client); },
+          max_waiting(config_),
+          [this](std::chrono::milliseconds gap) {
+            if (gap >= kMinReportedStall) counters_.record_stall(gap);
+          }),
+      hand_off_threads_(2 * connection_budget(config_)), client_threads_(2 * connection_budget(config_)),
+      internal_threads_(9) {
+  DiscoveryList cached_list;
+  if (!config_.known.empty()) cached_list = directory_.read(config_.known);
+  watch_ = std::make_unique<DiscoveryWatch>(balancer_, directory_, counters_,
+                                            parse_address(config_.discovery), cached_list.version,
+                                            config_.settings.seed, [this] { node_state_.mark_started(); });
   is_paired_ = process_pair_ && process_pair_->is_successor();
-  if (!known.entries.empty() && !(process_pair_ && process_pair_->is_successor())) node_state_.mark_started();
-  balancer_.update_backends(ListForm::cached, std::move(known.entries));
+  if (!cached_list.entries.empty() && !(process_pair_ && process_pair_->is_successor()))
+    node_state_.mark_started();
+  balancer_.update_backends(ListForm::cached, std::move(cached_list.entries));
   std::vector<Index> inherits_from;
-  request_config_ = apply_settings(config_.settings, config_.names, settings_, inherits_from);
+  request_config_ = build_request_config(config_.settings, config_.names, settings_, inherits_from);
   if (!config_.fleet.membership.enabled) return;
-  const std::string left = process_pair_ ? config_.scratch + "/troutstage-members-" + std::to_string(std::hash<std::string>()(config_.name)) : "";
-  peers_ = std::make_unique<MembershipTransport>(MembershipTransport::Options{config_.name, config_.zone, config_.peer_listen, config_.peers, config_.fleet.membership,
-                                                config_.settings.slow_start_window, left, process_pair_ && process_pair_->is_successor()},
-                                   [this](int nodes) { set_node_count(nodes); });
+  const std::string members_file = process_pair_ ? config_.scratch + "/troutstage-members-" +
+                                                       std::to_string(std::hash<std::string>()(config_.name))
+                                                 : "";
+  peers_ = std::make_unique<MembershipTransport>(
+      MembershipTransport::Options{config_.name, config_.zone, config_.peer_listen, config_.peers,
+                                   config_.fleet.membership, config_.settings.slow_start_window, members_file,
+                                   process_pair_ && process_pair_->is_successor()},
+      [this](int nodes) { set_node_count(nodes); });
 }
 
 Node::~Node() { stop({}); }
 
 void Node::start() {
-  // On sockets every list comes by a watch; where the decisions needn't ask for it, the node does.
+  // Every list of backends comes from the discovery watch. If the balancer need not ask for the list, the
+  // node asks.
   if (!config_.settings.is_discovery_on_request) balancer_.request_discovery();
   start_thread("timers", [this] { balancer_.run_ticks(); });
   start_thread("discovery", [this] { watch_->run(); });
@@ -137,7 +169,7 @@
   accept_loop_ended_ = false;
   try {
     start_thread("accepting", [this] { accept_all(); });
-  } catch (...) {  // nobody waits for a thread that is not there
+  } catch (...) {  // stop() must not wait for a thread that does not run
     accept_loop_ended_ = true;
     throw;
   }
@@ -145,25 +177,28 @@
 }
 
 void Node::start_thread(std::string_view what, const std::function<void()>& job) {
-  // Without one of these threads the node would go on taking requests and answer none: what breaks in it is begun again.
-  const auto goes_on = [this, job, name = std::string(what)] {
-    for (bool over = false; !over;) {
+  // Without one of these threads the node would accept requests and answer none, so a job that throws is
+  // restarted.
+  const auto run_until_done = [this, job, name = std::string(what)] {
+    for (bool is_done = false; !is_done;) {
       try {
         job();
-        over = true;
-      } catch (const std::exception& broke) {
+        is_done = true;
+      } catch (const std::exception& error) {
         ++counters_.broke_inside_threads;
-        log::error("thread for {}: {}", name, broke.what());
+        log::error("thread for {}: {}", name, error.what());
         std::this_thread::sleep_for(kThreadRestartDelay);
       }
     }
   };
-  // No thread to be had for a moment is no reason not to start.
-  const auto run = [&] { return internal_threads_.run(goes_on) || (errno = ENOMEM, false); };
-  if (!retry_on_shortage("pthread_create", run)) throw std::runtime_error("can't start the thread for " + std::string(what));
+  // A brief shortage of threads does not prevent the start.
+  const auto run = [&] { return internal_threads_.run(run_until_done) || (errno = ENOMEM, false); };
+  if (!retry_on_shortage("pthread_create", run))
+    throw std::runtime_error("can't start the thread for " + std::string(what));
 }
 
-// Without a thread for it the looks at each connection alone tell, until the next request.
+// If no thread is available, arrival times come only from the checks of each socket until the next request
+// starts this again.
 void Node::request_system_time_check() {
   if (is_system_time_check_requested_.exchange(true)) return;
   ++counters_.system_times_checks;
@@ -180,7 +215,8 @@
 void Node::accept_all() {
   for (;;) {
     {
-      // The reserve is in use: accept must not be the call that finds no descriptor.
+      // Nothing is accepted while the whole reserve is in use: accept must not be the call that finds no
+      // descriptor.
       std::unique_lock held(lock_);
       changed_.wait_for(held, kPollInterval, [this] { return over_budget_ < rejection_reserve_; });
       if (over_budget_ >= rejection_reserve_) {
@@ -190,21 +226,23 @@
         continue;
       }
     }
-    // A successor takes what is queued, and a process that takes over accepts nothing before it can serve.
+    // After a hand-over the successor accepts the queued connections. A successor accepts nothing before it
+    // can serve.
     if (is_handing_over_) break;
     if (process_pair_ && node_state_.phase() == core::NodeState::Phase::starting) {
       std::unique_lock held(lock_);
       changed_.wait_for(held, std::chrono::milliseconds(10));
       continue;
     }
-    // Once this node accepts no more, those that the system has taken for it already are still served.
-    const bool last = is_closing_connections_;
-    if (last && TimePoint::clock::now() >= answer_deadline_.load()) break;
-    if (!last && !may_have_more_queued_) wait_for_connection();
-    const TimePoint begun = TimePoint::clock::now();
-    AcceptResult one = accept_connection(listener_.get());
-    if (one.what == AcceptOutcome::none && polls_unreadable(listener_.get())) accept_queue_estimate_.no_bytes_until(begun);
-    if (!handle_accept(std::move(one), last)) break;
+    // A node that stops still serves the connections that are in its accept queue by then.
+    const bool is_stopping = is_closing_connections_;
+    if (is_stopping && TimePoint::clock::now() >= answer_deadline_.load()) break;
+    if (!is_stopping && !may_have_more_queued_) wait_for_connection();
+    const TimePoint checked_at = TimePoint::clock::now();
+    AcceptResult result = accept_connection(listener_.get());
+    if (result.what == AcceptOutcome::none && polls_unreadable(listener_.get()))
+      accept_queue_estimate_.no_bytes_until(checked_at);
+    if (!handle_accept(std::move(result), is_stopping)) break;
   }
   std::lock_guard held(lock_);
   listener_.reset();
@@ -212,50 +250,57 @@
   changed_.notify_all();
 }
 
-// Until one is there to accept, or the queue is to be looked at all the same: the wait may have failed.
+// Waits until there is a connection to accept, or until the next check of the queue is due regardless,
+// because the wait may have missed a connection.
 void Node::wait_for_connection() {
-  const IoResult io = wait_readable(listener_.get(), TimePoint::clock::now() + core::ArrivalEstimate::kCheckInterval);
-  // A monitor that can't be asked must not be asked without end.
+  const IoResult io =
+      wait_readable(listener_.get(), TimePoint::clock::now() + core::ArrivalEstimate::kCheckInterval);
+  // If poll() fails, the pause keeps the accepting thread from spinning.
   if (io == IoResult::broken) std::this_thread::sleep_for(kAcceptShortageDelay);
 }
 
-// What became of one call of accept(). Only the system's word that nothing is there means that there is nothing more.
-bool Node::handle_accept(AcceptResult&& one, bool last) {
-  if (one.what == AcceptOutcome::accepted) {
+// Acts on the result of one accept call. Only an empty queue means that there is nothing more to accept; an
+// error does not.
+bool Node::handle_accept(AcceptResult&& result, bool is_stopping) {
+  if (result.what == AcceptOutcome::accepted) {
     consecutive_accept_shortages_ = 0;
     may_have_more_queued_ = true;
     ++counters_.connections_taken;
-    take(std::move(one.fd));
+    add_client(std::move(result.fd));
     return true;
   }
   may_have_more_queued_ = false;
-  if (one.what == AcceptOutcome::none) return !last;
+  if (result.what == AcceptOutcome::none) return !is_stopping;
   ++counters_.accepts_failed;
-  log::event("accept_failed", {{"error", std::int64_t{one.error}}}, log::Level::debug);
-  if (one.what == AcceptOutcome::again) {
+  log::event("accept_failed", {{"error", std::int64_t{result.error}}}, log::Level::debug);
+  if (result.what == AcceptOutcome::again) {
     std::this_thread::sleep_for(kAcceptRetryDelay);
     return true;
   }
-  record_shortage("accept", one.error);
-  if (one.what == AcceptOutcome::shortage && ++consecutive_accept_shortages_ >= kShortagesBeforeClosingIdle) {
-    // A descriptor is wanted: what holds one without need goes first, and what may have a request on its way last.
-    if (!idle_connections_.close_least_useful(consecutive_accept_shortages_ < kShortagesBeforeClosingNew)) abort_slow_reads(kSlowReadTime);
+  record_shortage("accept", result.error);
+  if (result.what == AcceptOutcome::shortage &&
+      ++consecutive_accept_shortages_ >= kShortagesBeforeClosingIdle) {
+    // A descriptor is needed: idle connections are closed first, and connections that may have a request on
+    // its way last.
+    if (!idle_connections_.close_least_useful(consecutive_accept_shortages_ < kShortagesBeforeClosingNew))
+      abort_slow_reads(kSlowReadTime);
   }
   std::unique_lock held(lock_);
   changed_.wait_for(held, kAcceptShortageDelay);
   return true;
 }
 
-void Node::take(Fd fd) {
+void Node::add_client(Fd fd) {
   try {
     const core::ArrivalEstimate arrival = initial_arrival_estimate(fd.get());
-    idle_connections_.add(std::make_shared<ClientConnection>(*this, std::move(fd), acquire_budget(), arrival), IdleConnections::WaitsFor::first_request);
-  } catch (const std::exception& broke) {
-    log::error("client: {}", broke.what());
+    idle_connections_.add(std::make_shared<ClientConnection>(*this, std::move(fd), acquire_budget(), arrival),
+                          IdleConnections::WaitsFor::first_request);
+  } catch (const std::exception& error) {
+    log::error("client: {}", error.what());
   }
 }
 
-// A connection's first request may have come with it, while it waited to be accepted.
+// The first request of a connection may have arrived while the connection waited in the accept queue.
 core::ArrivalEstimate Node::initial_arrival_estimate(int fd) const {
   core::ArrivalEstimate arrival(accept_queue_estimate_.earliest());
   const TimePoint now = TimePoint::clock::now();
@@ -263,22 +308,23 @@
   return arrival;
 }
 
-// Called by the lobby: it must wait for nothing.
+// Called by IdleConnections while it holds its lock: must not block.
 bool Node::run_client(const std::shared_ptr<ClientConnection>& client) {
   return client_threads_.run([this, client]() mutable {
     if (const auto wait = client->serve()) idle_connections_.add(std::move(client), *wait);
   });
 }
 
-// A request that waits unread in the accept queue gets no answer in its time, and its client's patience can't
-// be told from its head any more: so every connection is taken at once, and what there is no place for is
-// turned away.
+// Takes a connection from the budget for a client. A request that waits unread in the accept queue is not
+// answered in time, and its head no longer says how long the client still waits. So every connection is
+// accepted at once, and the request of a connection beyond the budget is rejected.
 bool Node::acquire_budget() {
   for (int tries = 0; tries < 3; ++tries) {
-    const ConnectionBudget::TakeResult took = budget_.take(Side::clients);
-    if (took == ConnectionBudget::TakeResult::granted) return true;
-    if (took == ConnectionBudget::TakeResult::all_full && pool_.close_oldest_idle()) continue;
-    // While two processes share the places each new connection would end the one before it unheard.
+    const ConnectionBudget::TakeResult outcome = budget_.take(Side::clients);
+    if (outcome == ConnectionBudget::TakeResult::granted) return true;
+    if (outcome == ConnectionBudget::TakeResult::all_full && pool_.close_oldest_idle()) continue;
+    // While two processes share the budget, connections on which nothing has arrived yet are kept: each new
+    // connection would close the connection before it, whose request is still unread.
     if (idle_connections_.close_least_useful(is_paired_)) continue;
     if (!abort_slow_reads(kSlowReadTime)) return false;
     std::unique_lock held(lock_);
@@ -287,16 +333,16 @@
   return false;
 }
 
-// Slow senders must not keep out all others.
-bool Node::abort_slow_reads(std::chrono::milliseconds slow) {
+// Slow senders must not use up the budget and keep out all other clients.
+bool Node::abort_slow_reads(std::chrono::milliseconds min_age) {
   std::lock_guard held(lock_);
-  bool any = false;
-  for (ActiveRead* reading : active_reads_) {
-    if (reading->is_aborted_ || TimePoint::clock::now() - reading->started_at_ < slow) continue;
-    any = reading->is_aborted_ = true;
-    ::shutdown(reading->fd_, SHUT_RD);
+  bool has_aborted = false;
+  for (ActiveRead* read : active_reads_) {
+    if (read->is_aborted_ || TimePoint::clock::now() - read->started_at_ < min_age) continue;
+    has_aborted = read->is_aborted_ = true;
+    ::shutdown(read->fd_, SHUT_RD);
   }
-  return any;
+  return has_aborted;
 }
 
 Node::ActiveRead::ActiveRead(Node& node, int fd) : node_(node), fd_(fd) {
@@ -307,16 +353,19 @@
   std::lock_guard held(node_.lock_);
   node_.active_reads_.erase(this);
 }
-// A request that crossed the end is answered all the same, as the last one.
+// A request that arrived whole in spite of the abort is answered all the same, as the last on its connection.
 bool Node::ActiveRead::was_aborted() const {
   std::lock_guard held(node_.lock_);
   return is_aborted_;
 }
 
-// Nobody can open another connection to a node that stops. Once a client found all of them busy, none was
-// used any more, and all requests were without a node; so a few are kept idle.
+// No client can open another connection to a node that stops. When a client found all of its connections to
+// the node busy, none of them was used any more, and all requests were without a node; so a few connections
+// are kept idle.
 bool Node::needs_idle_connections() {
-  return node_state_.phase() == core::NodeState::Phase::stopping && !is_handing_over_ && idle_connections_.waiting(IdleConnections::WaitsFor::next_request) < reused_connections_ / kIdleShareDivisor;
+  return node_state_.phase() == core::NodeState::Phase::stopping && !is_handing_over_ &&
+         idle_connections_.waiting(IdleConnections::WaitsFor::next_request) <
+             reused_connections_ / kIdleShareDivisor;
 }
 
 void Node::run_housekeeping() {
@@ -331,33 +380,39 @@
   }
 }
 
-void Node::connection_opened(bool has_place) {
+void Node::connection_opened(bool is_within_budget) {
   std::lock_guard held(lock_);
   ++open_connections_;
-  if (!has_place) ++over_budget_;
+  if (!is_within_budget) ++over_budget_;
 }
-void Node::connection_closed(bool had_place) {
-  if (had_place) budget_.give_back(Side::clients);
+void Node::connection_closed(bool was_within_budget) {
+  if (was_within_budget) budget_.give_back(Side::clients);
   std::lock_guard held(lock_);
   --open_connections_;
-  if (!had_place) --over_budget_;
+  if (!was_within_budget) --over_budget_;
   changed_.notify_all();
 }
 
-// What is offered under settings, and these with the numbers that it goes by. Reads no file and takes no lock.
-std::shared_ptr<const RequestConfig> Node::apply_settings(Settings fresh, const NameIndices& names,
-                                          std::shared_ptr<const Settings>& all, std::vector<Index>& inherits_from) {
-  std::vector<std::string> called(fresh.workloads.size());
-  for (const auto& [name, index] : names.workloads) called[index] = name;
-  core::WorkloadRegistry::Assignment plan = workload_registry_.apply_settings(called, fresh.workloads);
+// Builds the request configuration for `new_settings`. Returns in `indexed_settings` the same settings with
+// their workloads by registry index, and in `inherits_from` the index of the workload whose history each of
+// them continues. Reads no file and takes no lock.
+std::shared_ptr<const RequestConfig> Node::build_request_config(
+    Settings new_settings, const NameIndices& new_names, std::shared_ptr<const Settings>& indexed_settings,
+    std::vector<Index>& inherits_from) {
+  std::vector<std::string> names_by_index(new_settings.workloads.size());
+  for (const auto& [name, index] : new_names.workloads) names_by_index[index] = name;
+  core::WorkloadRegistry::Assignment plan =
+      workload_registry_.apply_settings(names_by_index, new_settings.workloads);
   auto request_config = std::make_shared<RequestConfig>();
-  for (std::size_t i = 0; i < called.size(); ++i)
-    request_config->workloads[called[i]] = {plan.workload_handles[i], fresh.workloads[i].semantics, counters_.answers.of(called[i])};
-  request_config->tenants = names.tenants;
-  request_config->may_cancel = fresh.may_cancel;
-  request_config->connect_timeout = std::chrono::microseconds(fresh.connect_timeout * 100);
-  fresh.workloads = std::move(plan.workloads);
-  all = std::make_shared<const Settings>(std::move(fresh));
+  for (std::size_t i = 0; i < names_by_index.size(); ++i)
+    request_config->workloads[names_by_index[i]] = {plan.workload_handles[i],
+                                                    new_settings.workloads[i].semantics,
+                                                    counters_.answers.of(names_by_index[i])};
+  request_config->tenants = new_names.tenants;
+  request_config->may_cancel = new_settings.may_cancel;
+  request_config->connect_timeout = std::chrono::microseconds(new_settings.connect_timeout * 100);
+  new_settings.workloads = std::move(plan.workloads);
+  indexed_settings = std::make_shared<const Settings>(std::move(new_settings));
   inherits_from = std::move(plan.inherits_from);
   return request_config;
 }
@@ -365,7 +420,7 @@
 void Node::reload_in_background(const std::string& path) { file_reader_.start_read(path); }
 
 void Node::run_reloads() {
-  while (const auto read = file_reader_.next()) {
+  while (const auto read = file_reader_.wait_for_result()) {
     if (read->error.empty()) reload_from(read->text, read->path);
     else report_reload_failure(read->path, read->error);
   }
@@ -374,8 +429,8 @@
 void Node::reload(const std::string& path) {
   try {
     reload_from(read_file(path), path);
-  } catch (const std::exception& unreadable) {
-    report_reload_failure(path, unreadable.what());
+  } catch (const std::exception& error) {
+    report_reload_failure(path, error.what());
   }
 }
 
@@ -384,41 +439,44 @@
   log::error("configuration kept, '{}' can't be used: {}", path, why);
 }
 
-// The text is checked whole before anything is touched. Work that is held and all that was learned stay.
+// Checks the whole text before anything changes. Open invocations and everything that was learned about
+// backends stay.
 void Node::reload_from(const std::string& text, const std::string& path) {
   try {
-    std::lock_guard settles(settings_lock_);
-    Config fresh = read_config(text);
-    check_complete(config_, fresh);
-    const bool moves = fresh.discovery_in_file != config_.discovery_in_file;
-    if (peers_) peers_->check(fresh.peers);
-    const sockaddr_in discovery = parse_address(moves ? fresh.discovery_in_file : "0.0.0.0:0");
-    // A new process is needed for these: measures taken by the old ones would be read by the new.
-    fresh.settings.zone = config_.settings.zone;
-    fresh.settings.tick = config_.settings.tick;
-    fresh.settings.slow_start_window = config_.settings.slow_start_window;
-    fresh.settings.slow_start_budget_share = config_.settings.slow_start_budget_share;
-    if (node_count_ > 0) fresh.settings.nodes = node_count_;
-    std::shared_ptr<const Settings> all;
+    std::lock_guard settings_guard(settings_lock_);
+    Config new_config = read_config(text);
+    check_complete(config_, new_config);
+    const bool moves_discovery = new_config.discovery_in_file != config_.discovery_in_file;
+    if (peers_) peers_->check(new_config.peers);
+    const sockaddr_in discovery = parse_address(moves_discovery ? new_config.discovery_in_file : "0.0.0.0:0");
+    // These change only with a new process: what was measured under the old values would be interpreted under
+    // the new ones.
+    new_config.settings.zone = config_.settings.zone;
+    new_config.settings.tick = config_.settings.tick;
+    new_config.settings.slow_start_window = config_.settings.slow_start_window;
+    new_config.settings.slow_start_budget_share = config_.settings.slow_start_budget_share;
+    if (node_count_ > 0) new_config.settings.nodes = node_count_;
+    std::shared_ptr<const Settings> indexed_settings;
     std::vector<Index> inherits_from;
-    auto request_config = apply_settings(fresh.settings, fresh.names, all, inherits_from);
-    balancer_.apply_settings(all, std::move(inherits_from));
+    auto request_config =
+        build_request_config(new_config.settings, new_config.names, indexed_settings, inherits_from);
+    balancer_.apply_settings(indexed_settings, std::move(inherits_from));
     {
       std::lock_guard held(lock_);
       request_config_.swap(request_config);
-      settings_ = all;
+      settings_ = indexed_settings;
     }
-    if (moves) watch_->move(discovery);
-    if (peers_ && fresh.peers != config_.peers) peers_->move(fresh.peers);
-    config_.peers = fresh.peers;
-    config_.settings = fresh.settings;
-    config_.given = fresh.given;
-    config_.discovery_in_file = fresh.discovery_in_file;
+    if (moves_discovery) watch_->move(discovery);
+    if (peers_ && new_config.peers != config_.peers) peers_->move(new_config.peers);
+    config_.peers = new_config.peers;
+    config_.settings = new_config.settings;
+    config_.given = new_config.given;
+    config_.discovery_in_file = new_config.discovery_in_file;
     ++counters_.reloads;
-    log::info("configuration reloaded: {} workloads, {}", fresh.settings.workloads.size(),
-              moves ? "discovery is now " + fresh.discovery : "no other discovery");
-  } catch (const std::exception& unusable) {
-    report_reload_failure(path, unusable.what());
+    log::info("configuration reloaded: {} workloads, {}", new_config.settings.workloads.size(),
+              moves_discovery ? "discovery is now " + new_config.discovery : "no other discovery");
+  } catch (const std::exception& error) {
+    report_reload_failure(path, error.what());
   }
 }
 
@@ -457,42 +515,45 @@
   idle_connections_.close_idle(false);
 }
 
-// What is shared while there are two processes, and theirs alone once there is one.
+// Follows the other process of this node: while two processes run, they share the connection budget and what
+// may be sent to backends in slow start; a single process has all of it.
 void Node::update_process_pair() {
-  const bool paired = process_pair_->is_other_running();
-  if (process_pair_->is_successor() && TimePoint::clock::now() - started_ > kSuccessorListWait && node_state_.phase() == core::NodeState::Phase::starting)
+  const bool is_paired = process_pair_->is_other_running();
+  if (process_pair_->is_successor() && TimePoint::clock::now() - started_ > kSuccessorListWait &&
+      node_state_.phase() == core::NodeState::Phase::starting)
     node_state_.mark_started();
-  // The successor may lack what idle connections of this process hold.
-  is_paired_ = paired;
+  is_paired_ = is_paired;
+  // The successor may lack the descriptors that idle connections of this process hold.
   if (is_handing_over_) pool_.close_expired(kPollInterval);
-  std::lock_guard settles(settings_lock_);
-  const double share = paired ? 0.5 : 1;
+  std::lock_guard settings_guard(settings_lock_);
+  const double share = is_paired ? 0.5 : 1;
   if (config_.settings.slow_start_budget_share == share) return;
-  log::info("the other process of this node has {}", paired ? "come" : "gone");
+  log::info("the other process of this node has {}", is_paired ? "come" : "gone");
   config_.settings.slow_start_budget_share = share;
-  auto now = std::make_shared<Settings>(*settings());
-  now->slow_start_budget_share = share;
-  apply_fleet_settings(std::move(now));
+  auto updated = std::make_shared<Settings>(*settings());
+  updated->slow_start_budget_share = share;
+  apply_fleet_settings(std::move(updated));
 }
 
-// Shared budgets follow the agreed view in place of the settings' number of nodes.
+// Shared budgets follow the number of nodes in the agreed membership view, not the number in the settings.
 void Node::set_node_count(int nodes) {
-  std::lock_guard settles(settings_lock_);
+  std::lock_guard settings_guard(settings_lock_);
   if (node_count_ == nodes) return;
   node_count_ = config_.settings.nodes = nodes;
-  auto now = std::make_shared<Settings>(*settings());
-  now->nodes = nodes;
+  auto updated = std::make_shared<Settings>(*settings());
+  updated->nodes = nodes;
   log::event("members_share", {{"nodes", std::int64_t{nodes}}});
-  apply_fleet_settings(std::move(now));
+  apply_fleet_settings(std::move(updated));
 }
 
-// The same workloads under other numbers of the fleet. `settling_` is held.
-void Node::apply_fleet_settings(std::shared_ptr<Settings> now) {
+// Applies settings whose workloads are unchanged and whose fleet-wide numbers differ. The caller holds
+// settings_lock_.
+void Node::apply_fleet_settings(std::shared_ptr<Settings> updated) {
   std::vector<Index> inherits_from;
-  for (Index n = 0; n < now->workloads.size(); ++n) inherits_from.push_back(n);
-  balancer_.apply_settings(now, std::move(inherits_from));
+  for (Index n = 0; n < updated->workloads.size(); ++n) inherits_from.push_back(n);
+  balancer_.apply_settings(updated, std::move(inherits_from));
   std::lock_guard held(lock_);
-  settings_ = now;
+  settings_ = updated;
 }
 
 std::optional<std::string> Node::members() const {
@@ -501,66 +562,80 @@
 }
 
 std::string Node::counters_text() const {
-  return counters_.text() + fmt::format("backends_spoke_unasked {}\n", pool_.unsolicited_count()) + (peers_ ? peers_->counters().text() : "");
+  return counters_.text() + fmt::format("backends_spoke_unasked {}\n", pool_.unsolicited_count()) +
+         (peers_ ? peers_->counters().text() : "");
 }
 
 NodeMetrics Node::metrics() {
-  NodeMetrics f;
+  NodeMetrics current;
   for (const auto& [name, answers] : counters_.answers.all())
-    f.by_workload[name] = {answers->succeeded, answers->rejected, answers->given_up};
-  f.written = counters_.written;
-  f.open = counters_.open;
+    current.by_workload[name] = {answers->succeeded, answers->rejected, answers->given_up};
+  current.written = counters_.written;
+  current.open = counters_.open;
   const auto backend_counts = balancer_.backend_counts();
-  f.listed = backend_counts.listed;
-  f.avoided = backend_counts.avoided;
-  f.reloads = counters_.reloads;
-  f.reloads_failed = counters_.reloads_failed;
-  return f;
+  current.listed = backend_counts.listed;
+  current.avoided = backend_counts.avoided;
+  current.reloads = counters_.reloads;
+  current.reloads_failed = counters_.reloads_failed;
+  return current;
 }
 
-void Node::stop(const ShutdownPlan& how) {
+void Node::stop(const ShutdownPlan& plan) {
   if (!node_state_.stop()) return;
   log::info("stopping");
-  const TimePoint told = TimePoint::clock::now();
-  const bool has_end = how.answer_within.count() >= 0;
-  if (has_end) balancer_.answer_all_by(clock_.now() + how.answer_within.count() * 10), answer_deadline_ = told + how.answer_within;
-  const auto stage = [&](std::string_view name, std::size_t open) {
-    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(TimePoint::clock::now() - told).count();
-    log::event("stop", {{"stage", name}, {"ms", std::int64_t{ms}}, {"clients", std::uint64_t{open}}, {"held", counters_.open.load()}});
+  const TimePoint requested_at = TimePoint::clock::now();
+  const bool has_deadline = plan.answer_within.count() >= 0;
+  if (has_deadline)
+    balancer_.answer_all_by(clock_.now() + plan.answer_within.count() * 10),
+        answer_deadline_ = requested_at + plan.answer_within;
+  const auto log_phase = [&](std::string_view name, std::size_t open) {
+    const auto ms =
+        std::chrono::duration_cast<std::chrono::milliseconds>(TimePoint::clock::now() - requested_at).count();
+    log::event("stop", {{"stage", name},
+                        {"ms", std::int64_t{ms}},
+                        {"clients", std::uint64_t{open}},
+                        {"held", counters_.open.load()}});
   };
   is_handing_over_ = process_pair_ && process_pair_->is_other_running();
   if (is_handing_over_) log::info("a successor takes what comes");
-  // A successor is the same member; else the others are told at once, and not left to find out.
+  // A successor is the same member of the fleet. Without a successor the other nodes are notified at once, so
+  // that they need not detect the loss.
   if (peers_ && is_handing_over_) peers_->hand_over_to_successor();
   else if (peers_) peers_->leave();
   std::unique_lock held(lock_);
-  // A successor has its clients' next connections, so each is let go at its next answer, and an idle one after
-  // a while in which most have asked.
-  if (is_handing_over_) changed_.wait_until(held, told + kDrainNoticeTime, [this] { return open_connections_ == 0; });
-  else changed_.wait_until(held, told + how.accept_for, [] { return false; });
-  // Clients use the connections that they have for as long as these stay open, and may know no other node:
-  // closed at once, two nodes that were stopped one after the other left all requests without one.
-  if (!is_handing_over_) changed_.wait_until(held, told + how.keep_connections_for, [this] { return open_connections_ == 0; });
+  // A successor accepts the clients' next connections, so each connection is closed after its next answer,
+  // and an idle connection after a time in which most clients have sent a request.
+  if (is_handing_over_)
+    changed_.wait_until(held, requested_at + kDrainNoticeTime, [this] { return open_connections_ == 0; });
+  else changed_.wait_until(held, requested_at + plan.accept_for, [] { return false; });
+  // Clients use their connections for as long as these stay open, and may know no other node. When
+  // connections were closed at once, stopping two nodes one after the other left all requests without a node.
+  if (!is_handing_over_)
+    changed_.wait_until(held, requested_at + plan.keep_connections_for,
+                        [this] { return open_connections_ == 0; });
   is_closing_connections_ = true;
-  stage("leaving", open_connections_);
+  log_phase("leaving", open_connections_);
   while (open_connections_ > 0 || !accept_loop_ended_) {
     held.unlock();
-    const bool at_end = has_end && TimePoint::clock::now() > told + how.answer_within;
-    idle_connections_.close_idle(at_end);
-    if (at_end) abort_slow_reads({});
-    else if (!is_handing_over_ || TimePoint::clock::now() > told + kMaxHeadTime) abort_slow_reads(kSlowReadTime);
+    const bool is_past_deadline = has_deadline && TimePoint::clock::now() > requested_at + plan.answer_within;
+    idle_connections_.close_idle(is_past_deadline);
+    if (is_past_deadline) abort_slow_reads({});
+    else if (!is_handing_over_ || TimePoint::clock::now() > requested_at + kMaxHeadTime)
+      abort_slow_reads(kSlowReadTime);
     held.lock();
-    changed_.wait_for(held, std::chrono::milliseconds(20), [this] { return open_connections_ == 0 && accept_loop_ended_; });
+    changed_.wait_for(held, std::chrono::milliseconds(20),
+                      [this] { return open_connections_ == 0 && accept_loop_ended_; });
   }
   stopped_ = true;
-  stage("clients gone", open_connections_);
+  log_phase("clients gone", open_connections_);
   changed_.notify_all();
   held.unlock();
   client_threads_.finish();
   hand_off_threads_.finish();
   balancer_.stop();
   watch_->stop();
-  for (const TimePoint limit = TimePoint::clock::now() + kMaxLeaveWait; peers_ && !is_handing_over_ && !peers_->has_left() && TimePoint::clock::now() < limit;)
+  for (const TimePoint limit = TimePoint::clock::now() + kMaxLeaveWait;
+       peers_ && !is_handing_over_ && !peers_->has_left() && TimePoint::clock::now() < limit;)
     std::this_thread::sleep_for(kPollInterval);
   if (peers_) peers_->stop();
   disconnect_monitor_.stop();
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -1,4 +1,6 @@
-// One node on sockets: its listener, its clients' connections and what they share.
+// A node on TCP sockets: its listener, its client connections and threads with the state that they share, and
+// its operations: reload of the configuration, drain, shutdown and the hand-over from a predecessor to a
+// successor process.
 #pragma once
 
 #include <atomic>
@@ -7,8 +9,8 @@
 #include <set>
 
 #include "config/config.h"
-#include "core/balancer.h"
 #include "core/arrival_estimate.h"
+#include "core/balancer.h"
 #include "core/stage.h"
 #include "core/stop_plan.h"
 #include "net/counters.h"
@@ -26,14 +28,16 @@
 
 namespace troutstage::net {
 
-// Steady time, begun far enough from zero that a backend's start can lie before it.
+// Steady time in tenths of a millisecond. The clock starts at one day, so that the start of a backend can lie
+// before the start of this node.
 class SteadyClock : public core::Clock {
  public:
   SteadyClock();
   TenthsOfMs now() const override;
   TimePoint at(TenthsOfMs when) const override;
   TenthsOfMs to_ticks(TimePoint when) const;
-  TenthsOfMs wall_offset() const { return wall_offset_; }  // from Unix time, as it was when the node started
+  // What to add to a Unix time to convert it, measured when the node started.
+  TenthsOfMs wall_offset() const { return wall_offset_; }
 
  private:
   const TimePoint start_;
@@ -42,33 +46,44 @@
 
 using core::ShutdownPlan;
 
+// The public functions may be called from any thread: start() once, port() only before stop().
 class Node {
  public:
-  explicit Node(Config config);  // listens from here on; throws where it can't
+  explicit Node(Config config);  // opens the listener, or throws
   ~Node();
+  // Starts the node's threads, or throws std::runtime_error. The node serves from here on.
   void start();
-  void stop(const ShutdownPlan& how);  // ends gracefully: all held is answered
-  // Lets its clients go and takes no new ones, but runs on with all that it knows; and takes them again. False:
-  // it is stopping.
+  // Shuts down gracefully: blocks until every open invocation is answered and every thread has ended. `plan`
+  // says how long each phase lasts. Only the first call has an effect.
+  void stop(const ShutdownPlan& plan);
+  // drain() makes the node report that it is not ready and close its client connections, without losing what
+  // the node has learned. activate() reverses this. Both may be repeated, and return false once the node is
+  // stopping.
   bool drain();
   bool activate();
   bool ready() const { return node_state_.is_ready(); }
+  // Current counts for the metrics endpoint.
   NodeMetrics metrics();
-  std::optional<std::string> members() const;  // what is known of the other nodes; nothing where membership is off
+  // JSON text about the other nodes; nothing if membership is off.
+  std::optional<std::string> members() const;
+  // All counters as text, a line each.
   std::string counters_text() const;
-  std::shared_ptr<const Settings> settings() const;  // as they hold now
-  // Reads a configuration anew: its settings hold for what comes from then on, and a discovery that is another
-  // than the file named before wins over where that was known from. Where anything is wrong with the file,
-  // nothing of it is taken.
+  std::shared_ptr<const Settings> settings() const;  // in force now
+  // Reads the configuration file and applies its settings to invocations that arrive from then on. A
+  // discovery address that differs from the one in the previous file replaces the address in use, wherever
+  // that came from. If anything in the file is wrong, the node logs the reason and keeps its whole
+  // configuration. Throws nothing.
   void reload(const std::string& path);
-  // The same without waiting for the file.
+  // The same, but returns without waiting for the file.
   void reload_in_background(const std::string& path);
+  // The port of the clients' listener.
   int port() const;
   const Counters& counters() const { return counters_; }
 
  private:
   friend class ClientConnection;
-  // Stands for a request that a thread reads: one that is slow to come may be ended to make room.
+  // Registers a request that a thread is reading. If the request arrives slowly, the node may abort the read
+  // to free capacity.
   class ActiveRead {
    public:
     ActiveRead(Node& node, int fd);
@@ -86,45 +101,51 @@
   };
 
   std::shared_ptr<const RequestConfig> request_config() const;
-  std::shared_ptr<const RequestConfig> apply_settings(Settings fresh, const NameIndices& names, std::shared_ptr<const Settings>& all,
-                                      std::vector<Index>& inherits_from);
+  // Builds the request configuration of new settings: see node.cpp.
+  std::shared_ptr<const RequestConfig> build_request_config(Settings new_settings, const NameIndices& names,
+                                                            std::shared_ptr<const Settings>& indexed_settings,
+                                                            std::vector<Index>& inherits_from);
   bool closes_connections_after_answer() const {
-    return is_closing_connections_ || is_handing_over_ || node_state_.phase() == core::NodeState::Phase::draining;
+    return is_closing_connections_ || is_handing_over_ ||
+           node_state_.phase() == core::NodeState::Phase::draining;
   }
   void close_idle_when_draining();
   void update_process_pair();
-  void set_node_count(int nodes);  // counts itself as one of so many from now on
-  void apply_fleet_settings(std::shared_ptr<Settings> now);
-  void run_reloads();
+  void set_node_count(int nodes);  // divides shared budgets by this number of nodes
+  void apply_fleet_settings(std::shared_ptr<Settings> updated);
+  void run_reloads();  // applies each file that the file reader has read, until the reader stops
   void reload_from(const std::string& text, const std::string& path);
   void report_reload_failure(const std::string& path, std::string_view why);
   void start_thread(std::string_view what, const std::function<void()>& job);
-  void request_system_time_check();  // of a client's connection: they are checked, once
+  // The system reported a receive time of a client connection. Starts the check of such times, once.
+  void request_system_time_check();
   void check_system_times();
   void accept_all();
   void wait_for_connection();
-  bool handle_accept(AcceptResult&& one, bool last);  // false: there is nothing more to accept
-  void take(Fd fd);
+  bool handle_accept(AcceptResult&& result, bool is_stopping);  // false: accepting is over
+  void add_client(Fd fd);
   core::ArrivalEstimate initial_arrival_estimate(int fd) const;
-  bool run_client(const std::shared_ptr<ClientConnection>& client);  // false: no thread is to be had
-  bool acquire_budget();            // false: there is none
-  bool abort_slow_reads(std::chrono::milliseconds slow);  // that have taken so long already; false: there is none
-  bool needs_idle_connections();  // while it stops
+  bool run_client(const std::shared_ptr<ClientConnection>& client);  // false: no thread is available
+  bool acquire_budget();                                             // false: the budget is exhausted
+  // Aborts reads that have lasted for `min_age` or longer; false: there are none.
+  bool abort_slow_reads(std::chrono::milliseconds min_age);
+  // During shutdown: whether too few client connections are idle.
+  bool needs_idle_connections();
   void run_housekeeping();
-  void connection_opened(bool has_place);  // a client's connection, and its end
-  void connection_closed(bool had_place);
+  void connection_opened(bool is_within_budget);  // connection_closed() reverses this
+  void connection_closed(bool was_within_budget);
 
-  Config config_;  // as it was last accepted
+  Config config_;  // as last accepted
   core::WorkloadRegistry workload_registry_;
   core::NodeState node_state_;
-  std::unique_ptr<ProcessPair> process_pair_;  // where its listener was passed to it
-  SharedUsage unpaired_usage_;
+  std::unique_ptr<ProcessPair> process_pair_;  // only if the listener was passed to this process
+  SharedUsage unpaired_usage_;                 // used if there is no process_pair_
   const SteadyClock clock_;
   const TimePoint started_ = TimePoint::clock::now();
   core::Balancer balancer_;
   Counters counters_;
   std::shared_ptr<const RequestConfig> request_config_;  // guarded by lock_
-  std::shared_ptr<const Settings> settings_;  // with the workloads by number; guarded by lock_
+  std::shared_ptr<const Settings> settings_;             // workloads by index; guarded by lock_
   BackendDirectory directory_;
   ConnectionBudget budget_;
   BodyBytesBudget bytes_;
@@ -133,30 +154,41 @@
   DisconnectMonitor disconnect_monitor_;
   std::unique_ptr<DiscoveryWatch> watch_;
   FileReader file_reader_;
-  std::unique_ptr<MembershipTransport> peers_;  // where membership is on
+  std::unique_ptr<MembershipTransport> peers_;  // only if membership is on
   Fd listener_;
 
   mutable std::mutex lock_;
   std::condition_variable changed_;
   std::set<ActiveRead*> active_reads_;
-  std::size_t open_connections_ = 0, over_budget_ = 0;  // clients' connections, and those of them that have no place
+  // Client connections, and those of them that are beyond the budget.
+  std::size_t open_connections_ = 0, over_budget_ = 0;
   bool stopped_ = false, accept_loop_ended_ = true;
-  int node_count_ = 0;         // by the membership; 0: it is off, and the settings tell. Guarded by settling_
-  std::mutex settings_lock_;  // over the settings of the module and how they come about
-  std::atomic<bool> is_paired_{false};      // another process of this node is there
-  std::atomic<bool> is_handing_over_{false};  // it stops, and a successor takes what comes
-  std::atomic<bool> is_closing_connections_{false};  // it stops, and closes what has been answered
-  std::atomic<TimePoint> answer_deadline_{TimePoint::max()};  // once it stops: its last answers are due then, and what has not been accepted is not any more
-  int consecutive_accept_shortages_ = 0;          // in a row; the accepting thread's own, as the next two
-  bool may_have_more_queued_ = false;          // to accept: one was, and the queue has not been found empty since
+  // Number of nodes that the membership agreed on; 0: membership is off, and the settings give the number.
+  // Guarded by settings_lock_.
+  int node_count_ = 0;
+  std::mutex settings_lock_;            // serializes changes of config_ and of the balancer's settings
+  std::atomic<bool> is_paired_{false};  // another process of this node is running
+  // The node stops, and a successor process accepts new connections.
+  std::atomic<bool> is_handing_over_{false};
+  // The node stops, and closes connections after their answers.
+  std::atomic<bool> is_closing_connections_{false};
+  // Set at shutdown: the last answers are due by then, and nothing is accepted after that.
+  std::atomic<TimePoint> answer_deadline_{TimePoint::max()};
+  // Used by the accepting thread only, like the next two.
+  int consecutive_accept_shortages_ = 0;
+  // The last accept call succeeded, so the accept queue has not been found empty since.
+  bool may_have_more_queued_ = false;
   core::ArrivalEstimate accept_queue_estimate_{started_};
-  std::atomic<bool> is_system_time_check_requested_{false}, trusts_system_times_{false};  // to be checked; they were seen to be true
-  std::atomic<std::uint64_t> connections_{0};  // clients', numbered for the log
-  TimePoint drained_since_;              // guarded by lock_
-  std::atomic<std::size_t> reused_connections_{0};  // clients' connections that were used more than once
-  const std::size_t rejection_reserve_;
+  // Receive times of the system: their check was requested; the check has passed.
+  std::atomic<bool> is_system_time_check_requested_{false}, trusts_system_times_{false};
+  std::atomic<std::uint64_t> connections_{0};  // client connections so far; numbers them in the log
+  TimePoint drained_since_;                    // guarded by lock_
+  // Open client connections that have served more than one request.
+  std::atomic<std::size_t> reused_connections_{0};
+  const std::size_t rejection_reserve_;  // how many connections may be beyond the budget
   IdleConnections idle_connections_;
-  ThreadPool hand_off_threads_, client_threads_, internal_threads_;  // the last members: their threads use the others
+  // The last members, because their threads use the others.
+  ThreadPool hand_off_threads_, client_threads_, internal_threads_;
 };
 
 }  // namespace troutstage::net
--- a/src/net/sibling.h
+++ b/src/net/sibling.h
@@ -1,5 +1,6 @@
-// Two processes of one node, while one takes over from the other: how each learns of the other, and what they
-// count together. Locks tell it, which go with their process however it ends.
+// The predecessor and the successor process of one node during an upgrade: how each detects the other, and
+// the connection and memory counts that both share. Each process holds a lock on its slot of a shared file,
+// which the system releases however the process ends.
 #pragma once
 
 #include <atomic>
@@ -11,26 +12,33 @@
 
 namespace troutstage::net {
 
+// Thread-safe.
 class ProcessPair {
  public:
-  // In a folder that both see. Throws where two are running already.
+  // `folder` is accessible to both processes; `node` is the name of the node. Throws std::runtime_error if
+  // two processes of the node are running already, and std::system_error if the shared file can't be used.
   ProcessPair(const std::string& folder, const std::string& node);
   ~ProcessPair();
   ProcessPair(const ProcessPair&) = delete;
   ProcessPair& operator=(const ProcessPair&) = delete;
-  bool is_successor() const { return is_successor_; }  // another was running when it came
+  bool is_successor() const { return is_successor_; }  // another process was running when this one started
+  // Checks the other process's lock. If the check fails, returns the last known state. Sets whether the
+  // shared counts include the other process.
   bool is_other_running();
+  // What each of the two processes uses. Lives as long as this object.
   SharedUsage& shared_usage() { return *shared_usage_; }
 
  private:
   enum class LockState { free, locked, unknown };
-  bool try_lock_slot(int place);         // false: another process has it; throws where that can't be told
-  LockState slot_lock_state(int place) const;  // a look that fails says nothing of the other process
+  // Returns false if another process holds the slot; throws std::system_error if that can't be determined.
+  bool try_lock_slot(int slot);
+  // Unknown if the check fails, which says nothing about the other process.
+  LockState slot_lock_state(int slot) const;
   Fd lock_file_;
   void* shared_page_ = nullptr;
   int slot_ = 0;
   bool is_successor_ = false;
-  std::atomic<bool> is_other_running_{false};  // as it was last known
+  std::atomic<bool> is_other_running_{false};  // last known state
   std::unique_ptr<SharedUsage> shared_usage_;
 };
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -19,22 +19,24 @@
 namespace troutstage::net {
 namespace {
 
-// A call that a signal interrupts is made again at once, so often at the most.
+// How often a call that a signal interrupts is repeated at once, at most.
 constexpr int kMaxInterruptedCalls = 1000;
-constexpr std::size_t kMaxPeekedBytes = 4096;  // bytes that are looked at to check how many the system says are unread
-constexpr std::chrono::milliseconds kSocketRetryTime{15};     // with a shortage of sockets
-constexpr std::chrono::milliseconds kAddressRetryTime{1000};  // with an address that is in use
-constexpr std::chrono::milliseconds kRouteRetryTime{20};      // with a network that can't be reached
+constexpr std::size_t kMaxPeekedBytes = 4096;  // bytes that are peeked at to verify FIONREAD's count
+constexpr std::chrono::milliseconds kSocketRetryTime{15};     // during a shortage of sockets
+constexpr std::chrono::milliseconds kAddressRetryTime{1000};  // while the address is in use
+constexpr std::chrono::milliseconds kRouteRetryTime{20};      // while the network is unreachable
 
-// Waits till `events` are there. The limit is a point in time, so a wait that is interrupted goes on to it.
+// Waits until one of `events` is ready. The limit is a point in time, so that an interrupted wait keeps its
+// limit.
 IoResult wait_for_events(int fd, short events, TimePoint limit) {
   for (Backoff backoff(limit);;) {
-    const auto left = std::chrono::duration_cast<std::chrono::nanoseconds>(limit - TimePoint::clock::now());
-    if (left.count() <= 0) return IoResult::late;
-    timespec wait{static_cast<time_t>(left.count() / 1000000000),
-                  static_cast<long>(left.count() % 1000000000)};
-    pollfd p{fd, events, 0};
-    const int n = ::ppoll(&p, 1, &wait, nullptr);
+    const auto remaining =
+        std::chrono::duration_cast<std::chrono::nanoseconds>(limit - TimePoint::clock::now());
+    if (remaining.count() <= 0) return IoResult::late;
+    timespec wait{static_cast<time_t>(remaining.count() / 1000000000),
+                  static_cast<long>(remaining.count() % 1000000000)};
+    pollfd polled{fd, events, 0};
+    const int n = ::ppoll(&polled, 1, &wait, nullptr);
     if (n > 0) return IoResult::done;
     if (n == 0) return IoResult::late;
     switch (classify_errno(errno)) {
@@ -49,32 +51,38 @@
   }
 }
 
-// Before a read or a write that failed is made again. `done`: it may be.
-IoResult wait_before_retry(std::string_view call, int error, int fd, short events, TimePoint limit, Backoff& backoff) {
+// Waits as the error of a failed read or write requires. done: the caller repeats the call.
+IoResult wait_before_retry(std::string_view call, int error, int fd, short events, TimePoint limit,
+                           Backoff& backoff) {
   switch (classify_errno(error)) {
     case ErrorClass::interrupted: return IoResult::done;
     case ErrorClass::not_ready: return wait_for_events(fd, events, limit);
-    case ErrorClass::shortage: record_shortage(call, error); return backoff.pause() ? IoResult::done : IoResult::late;
+    case ErrorClass::shortage:
+      record_shortage(call, error);
+      return backoff.pause() ? IoResult::done : IoResult::late;
     case ErrorClass::other: break;
   }
   return IoResult::broken;
 }
 
-// Notes a look that found nothing; until when to wait before the next one.
+// Records a check that found nothing. Returns the time until which to wait before the next check.
 TimePoint record_empty_check(core::ArrivalEstimate& arrival, TimePoint limit) {
   const TimePoint now = TimePoint::clock::now();
   arrival.found_no_bytes(now);
   return std::min(limit, now + core::ArrivalEstimate::kCheckInterval);
 }
 
-// Whether more is unread than `told`, which is less than kMostPeeked; also where that can't be found out.
-bool has_more_than(int fd, std::size_t told) {
+// Whether more than `reported` bytes are unread, where `reported` is less than kMaxPeekedBytes. True also if
+// the peek fails.
+bool has_more_than(int fd, std::size_t reported) {
   char bytes[kMaxPeekedBytes];
-  const ssize_t n = ::recv(fd, bytes, told + 1, MSG_PEEK | MSG_DONTWAIT);
-  return n < 0 ? classify_errno(errno) != ErrorClass::not_ready : static_cast<std::size_t>(n) > told;
+  const ssize_t n = ::recv(fd, bytes, reported + 1, MSG_PEEK | MSG_DONTWAIT);
+  return n < 0 ? classify_errno(errno) != ErrorClass::not_ready : static_cast<std::size_t>(n) > reported;
 }
 
-const sockaddr* as_sockaddr(const sockaddr_in& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* as_sockaddr(const sockaddr_in& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
+}
 
 }  // namespace
 
@@ -84,16 +92,16 @@
 }
 
 sockaddr_in parse_address(std::string_view text) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) throw Malformed("no port in address '" + std::string(text) + "'");
   const std::string host(text.substr(0, colon));
   const std::int64_t port = parse_integer(text.substr(colon + 1), "port");
-  if (::inet_pton(AF_INET, host.c_str(), &a.sin_addr) != 1 || port < 0 || port > 65535)
-    throw Malformed("no address: '" + std::string(text) + "'");
-  a.sin_port = htons(static_cast<std::uint16_t>(port));
-  return a;
+  if (::inet_pton(AF_INET, host.c_str(), &address.sin_addr) != 1 || port < 0 || port > 65535)
+    throw Malformed("not an IPv4 address with a port: '" + std::string(text) + "'");
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  return address;
 }
 
 std::string address_text(const sockaddr_in& address) {
@@ -116,11 +124,14 @@
 
 namespace {
 
-// What the system held back of an answer is lost where the connection is reset right after it.
+// Without TCP_NODELAY the system may hold back the end of an answer, which is lost if the connection is reset
+// right after that.
 void disable_send_delay(const Fd& fd) {
   const int on = 1;
-  const auto set = [&] { return ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on) == 0; };
-  if (fd) retry_on_shortage("setsockopt", set, kSocketRetryTime);
+  const auto set_option = [&] {
+    return ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on) == 0;
+  };
+  if (fd) retry_on_shortage("setsockopt", set_option, kSocketRetryTime);
 }
 
 }  // namespace
@@ -136,28 +147,29 @@
 
 Fd new_event_fd() {
   Fd fd;
-  if (!retry_on_shortage("eventfd",
-               [&] { return static_cast<bool>(fd = Fd(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))); }))
-    throw std::system_error(errno, std::generic_category(), "can't make an event descriptor");
+  if (!retry_on_shortage(
+          "eventfd", [&] { return static_cast<bool>(fd = Fd(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))); }))
+    throw std::system_error(errno, std::generic_category(), "can't create an eventfd");
   return fd;
 }
 
 void signal_event(const Fd& event) {
-  const std::uint64_t one = 1;
-  while (::write(event.get(), &one, sizeof one) < 0 && errno == EINTR) {
+  const std::uint64_t increment = 1;
+  while (::write(event.get(), &increment, sizeof increment) < 0 && errno == EINTR) {
   }
 }
 
 void clear_event(const Fd& event) {
-  std::uint64_t times = 0;
-  while (::read(event.get(), &times, sizeof times) < 0 && errno == EINTR) {
+  std::uint64_t count = 0;
+  while (::read(event.get(), &count, sizeof count) < 0 && errno == EINTR) {
   }
 }
 
 Fd new_epoll_fd() {
   Fd fd;
-  if (!retry_on_shortage("epoll_create1", [&] { return static_cast<bool>(fd = Fd(::epoll_create1(EPOLL_CLOEXEC))); }))
-    throw std::system_error(errno, std::generic_category(), "can't monitor sockets");
+  if (!retry_on_shortage("epoll_create1",
+                         [&] { return static_cast<bool>(fd = Fd(::epoll_create1(EPOLL_CLOEXEC))); }))
+    throw std::system_error(errno, std::generic_category(), "can't create an epoll descriptor");
   return fd;
 }
 
@@ -174,7 +186,8 @@
     case ErrorClass::shortage: return {AcceptOutcome::shortage, Fd(), error};
     case ErrorClass::other: break;
   }
-  // Errors of the network that one connection came by are passed on by accept(), and say nothing of the next.
+  // accept4() also reports network errors of the queued connection. They say nothing about the next
+  // connection.
   const bool unusable = error == EBADF || error == EINVAL || error == ENOTSOCK || error == EFAULT;
   return {unusable ? AcceptOutcome::broken : AcceptOutcome::again, Fd(), error};
 }
@@ -183,36 +196,39 @@
   const auto try_once = [&address]() -> Fd {
     Fd fd = new_socket();
     const int on = 1;
-    const bool listens =
-        fd && ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
-        ::bind(fd.get(), as_sockaddr(address), sizeof address) == 0 && ::listen(fd.get(), 1024) == 0 &&
-        ::fcntl(fd.get(), F_SETFL, O_NONBLOCK) == 0;  // another may take what was there to accept
+    const bool listens = fd && ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
+                         ::bind(fd.get(), as_sockaddr(address), sizeof address) == 0 &&
+                         ::listen(fd.get(), 1024) == 0 &&
+                         // Non-blocking: another process may accept a connection first.
+                         ::fcntl(fd.get(), F_SETFL, O_NONBLOCK) == 0;
     return listens ? std::move(fd) : Fd();
   };
   Fd fd;
-  // A process that was killed a moment ago may still hold it.
-  Backoff until_free(TimePoint::clock::now() + kAddressRetryTime);
-  const auto listens = [&] { return retry_on_shortage("listen", [&] { return static_cast<bool>(fd = try_once()); }); };
+  // A process that was killed a moment ago may still hold the address.
+  Backoff address_backoff(TimePoint::clock::now() + kAddressRetryTime);
+  const auto listens = [&] {
+    return retry_on_shortage("listen", [&] { return static_cast<bool>(fd = try_once()); });
+  };
   while (!listens()) {
     const int error = errno;
-    if (error != EADDRINUSE || !until_free.pause())
+    if (error != EADDRINUSE || !address_backoff.pause())
       throw std::system_error(error, std::generic_category(), "can't listen on " + address_text(address));
   }
   return fd;
 }
 
 Fd inherited_listener(int fd, const sockaddr_in& address) {
-  int listens = 0;
-  socklen_t size = sizeof listens;
-  if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0)
+  int is_listening = 0;
+  socklen_t size = sizeof is_listening;
+  if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) != 0 || is_listening == 0)
     throw Malformed("descriptor " + std::to_string(fd) + " is no listening socket");
-  sockaddr_in there{};
-  size = sizeof there;
-  if (::getsockname(fd, reinterpret_cast<sockaddr*>(&there), &size) != 0 || there.sin_family != AF_INET ||
-      there.sin_port != address.sin_port || there.sin_addr.s_addr != address.sin_addr.s_addr)
-    throw Malformed("descriptor " + std::to_string(fd) + " listens on " + address_text(there) + ", not on " +
+  sockaddr_in actual{};
+  size = sizeof actual;
+  if (::getsockname(fd, reinterpret_cast<sockaddr*>(&actual), &size) != 0 || actual.sin_family != AF_INET ||
+      actual.sin_port != address.sin_port || actual.sin_addr.s_addr != address.sin_addr.s_addr)
+    throw Malformed("descriptor " + std::to_string(fd) + " listens on " + address_text(actual) + ", not on " +
                     address_text(address));
-  // Two accept on it: one may find that the other was quicker, and must not wait then.
+  // Two processes accept on this socket. When the other one is quicker, this one must not block.
   if (::fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || ::fcntl(fd, F_SETFL, O_NONBLOCK) != 0)
     throw std::system_error(errno, std::generic_category(), "can't use descriptor " + std::to_string(fd));
   return Fd(fd);
@@ -222,12 +238,12 @@
 
 enum class ConnectState { connected, in_progress, resource_shortage, no_route, unreachable };
 
-// One call of connect(). What it lacks here for a moment is no word of the other side.
+// One call of connect(). A shortage on this machine says nothing about the peer.
 ConnectState try_connect(int fd, const sockaddr_in& address) {
   if (::connect(fd, as_sockaddr(address), sizeof address) == 0) return ConnectState::connected;
   const int error = errno;
   if (error == EISCONN) return ConnectState::connected;
-  // An interrupted one goes on by itself, as one that is under way.
+  // An interrupted connect() continues in the background, like one that is in progress.
   if (error == EINPROGRESS || error == EALREADY || error == EINTR) return ConnectState::in_progress;
   if (error == EAGAIN || error == EADDRNOTAVAIL || classify_errno(error) == ErrorClass::shortage) {
     record_shortage("connect", error);
@@ -236,7 +252,7 @@
   return error == ENETUNREACH ? ConnectState::no_route : ConnectState::unreachable;
 }
 
-// Whether a connection that was under way has come up.
+// Waits until a connection that is in progress is established or has failed.
 IoResult wait_until_connected(int fd, TimePoint limit) {
   if (const IoResult io = wait_for_events(fd, POLLOUT, limit); io != IoResult::done) return io;
   int error = 0;
@@ -244,12 +260,14 @@
   if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) return IoResult::broken;
   sockaddr_in peer{};
   size = sizeof peer;
-  // A recall's shutdown ends the wait with no error set: it is connected only if there is another side.
-  return ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0 ? IoResult::done : IoResult::broken;
+  // The shutdown of a cancelled hand-off ends the wait with no error set: the socket is connected only if it
+  // has a peer.
+  return ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0 ? IoResult::done
+                                                                           : IoResult::broken;
 }
 
 IoResult connect_until(int fd, const sockaddr_in& address, TimePoint limit) {
-  Backoff backoff(limit), without_route(std::min(limit, TimePoint::clock::now() + kRouteRetryTime));
+  Backoff backoff(limit), route_backoff(std::min(limit, TimePoint::clock::now() + kRouteRetryTime));
   for (;;) {
     switch (try_connect(fd, address)) {
       case ConnectState::connected: return IoResult::done;
@@ -259,7 +277,7 @@
         if (!backoff.pause()) return IoResult::resource_shortage;
         break;
       case ConnectState::no_route:
-        if (!without_route.pause()) return IoResult::broken;
+        if (!route_backoff.pause()) return IoResult::broken;
         break;
     }
   }
@@ -268,7 +286,7 @@
 }  // namespace
 
 IoResult connect_to(int fd, const sockaddr_in& address, TimePoint limit) {
-  // The socket blocks but for this one call, which the system would let last for minutes.
+  // The socket is non-blocking for this call only: a blocking connect() may last for minutes.
   const int flags = ::fcntl(fd, F_GETFL);
   ::fcntl(fd, F_SETFL, flags | O_NONBLOCK);
   const IoResult io = connect_until(fd, address, limit);
@@ -281,7 +299,7 @@
 IoResult read_some(int fd, std::string& into, TimePoint limit, core::ArrivalEstimate* arrival) {
   char bytes[8192];
   for (Backoff backoff(limit);;) {
-    // Looked at first: what is waited for is often there already, and a storm is made of such requests.
+    // Reads before it waits: the bytes have often arrived already, as they have for most requests of a burst.
     const ssize_t n = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
     if (n > 0) {
       if (arrival != nullptr) arrival->found_bytes(TimePoint::clock::now());
@@ -292,12 +310,12 @@
     const int error = errno;
     const bool is_empty = classify_errno(error) == ErrorClass::not_ready;
     if (is_empty && arrival != nullptr && !polls_unreadable(fd)) {
-      // It has come meanwhile, or one of the two calls is wrong: no look.
+      // Bytes have arrived meanwhile, or one of the two calls is wrong: this does not count as a check.
       if (!backoff.pause()) return IoResult::late;
       continue;
     }
-    const bool looks_again = is_empty && arrival != nullptr;
-    const TimePoint wait_until = looks_again ? record_empty_check(*arrival, limit) : limit;
+    const bool is_empty_check = is_empty && arrival != nullptr;
+    const TimePoint wait_until = is_empty_check ? record_empty_check(*arrival, limit) : limit;
     const IoResult io = wait_before_retry("recv", error, fd, POLLIN, wait_until, backoff);
     if (io == IoResult::late && wait_until < limit) continue;
     if (io != IoResult::done) return io;
@@ -307,17 +325,19 @@
 IoResult write_all(int fd, std::string_view bytes, TimePoint limit) {
   Backoff backoff(limit);
   while (!bytes.empty()) {
-    // Never blocks in the call itself: the other side may have stopped reading.
+    // send() itself must not block: the peer may have stopped reading.
     const ssize_t n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (n >= 0) bytes.remove_prefix(static_cast<std::size_t>(n));
-    else if (const IoResult io = wait_before_retry("send", errno, fd, POLLOUT, limit, backoff); io != IoResult::done) return io;
+    else if (const IoResult io = wait_before_retry("send", errno, fd, POLLOUT, limit, backoff);
+             io != IoResult::done)
+      return io;
   }
   return IoResult::done;
 }
 
 IoResult write_head_and_body(int fd, std::string head, std::string_view body, TimePoint limit) {
-  constexpr std::size_t kOnePiece = 4096;
-  if (body.size() <= kOnePiece) head += std::exchange(body, {});
+  constexpr std::size_t kMaxCopiedBody = 4096;
+  if (body.size() <= kMaxCopiedBody) head += std::exchange(body, {});
   const IoResult io = write_all(fd, head, limit);
   return io == IoResult::done ? write_all(fd, body, limit) : io;
 }
@@ -340,23 +360,23 @@
 }
 
 bool polls_unreadable(int fd) {
-  pollfd p{fd, POLLIN, 0};
-  return ::poll(&p, 1, 0) == 0;
+  pollfd polled{fd, POLLIN, 0};
+  return ::poll(&polled, 1, 0) == 0;
 }
 
 bool polls_readable(int fd) {
-  pollfd p{fd, POLLIN, 0};
-  return ::poll(&p, 1, 0) > 0 && (p.revents & POLLIN) != 0;
+  pollfd polled{fd, POLLIN, 0};
+  return ::poll(&polled, 1, 0) > 0 && (polled.revents & POLLIN) != 0;
 }
 
 bool is_open_and_empty(int fd) { return peek_socket(fd) == PeekResult::none && polls_unreadable(fd); }
 
-IoResult discard_unread(int fd, std::size_t& thrown) {
+IoResult discard_unread(int fd, std::size_t& discarded) {
   for (int tries = 0; tries < kMaxInterruptedCalls; ++tries) {
-    // Truncated, the bytes are not even copied: what is sent in bulk costs little.
+    // With MSG_TRUNC the system does not copy the bytes, so that discarding many of them costs little.
     const ssize_t n = ::recv(fd, nullptr, 1 << 20, MSG_TRUNC | MSG_DONTWAIT);
     if (n > 0) {
-      thrown += static_cast<std::size_t>(n);
+      discarded += static_cast<std::size_t>(n);
       return IoResult::done;
     }
     if (n == 0) return IoResult::ended;
@@ -370,15 +390,15 @@
 std::optional<std::chrono::milliseconds> time_since_last_receive(int fd) {
   tcp_info info{};
   socklen_t size = sizeof info;
-  // Where not even the round trip is known, nothing was measured.
+  // A round-trip time of 0 means that the system measures nothing for this connection.
   if (::getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0 || info.tcpi_rtt == 0) return std::nullopt;
   return std::chrono::milliseconds(info.tcpi_last_data_recv);
 }
 
 std::optional<std::size_t> unread_byte_count(int fd) {
-  int told = 0;
-  if (::ioctl(fd, FIONREAD, &told) != 0 || told < 0) return std::nullopt;
-  const auto unread = static_cast<std::size_t>(told);
+  int reported = 0;
+  if (::ioctl(fd, FIONREAD, &reported) != 0 || reported < 0) return std::nullopt;
+  const auto unread = static_cast<std::size_t>(reported);
   return unread < kMaxPeekedBytes && has_more_than(fd, unread) ? std::nullopt : std::optional(unread);
 }
 
@@ -386,38 +406,38 @@
 
 bool peer_has_closed(int fd) {
   for (int tries = 0; tries < kMaxInterruptedCalls; ++tries) {
-    pollfd p{fd, POLLIN | POLLRDHUP, 0};
-    const int n = ::poll(&p, 1, 0);
+    pollfd polled{fd, POLLIN | POLLRDHUP, 0};
+    const int n = ::poll(&polled, 1, 0);
     if (n == 0) return false;
-    if (n > 0 && (p.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return true;
+    if (n > 0 && (polled.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return true;
     if (n > 0 || classify_errno(errno) != ErrorClass::interrupted) break;
   }
-  // What is there to read may be the close itself, where the system reports no half closes or can't be asked.
+  // What is readable may be the close itself, if the system reports no half closes or poll() failed.
   const PeekResult unread = peek_socket(fd);
   return unread == PeekResult::ended || unread == PeekResult::broken;
 }
 
-bool set_epoll_events(int monitor_fd, int fd, std::uint32_t events, std::uint64_t data) {
+bool set_epoll_events(int epoll_fd, int fd, std::uint32_t events, std::uint64_t data) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = data;
   for (int tries = 0; tries < 10; ++tries) {
-    if (::epoll_ctl(monitor_fd, EPOLL_CTL_ADD, fd, &event) == 0) return true;
-    if (errno == EEXIST && ::epoll_ctl(monitor_fd, EPOLL_CTL_MOD, fd, &event) == 0) return true;
+    if (::epoll_ctl(epoll_fd, EPOLL_CTL_ADD, fd, &event) == 0) return true;
+    if (errno == EEXIST && ::epoll_ctl(epoll_fd, EPOLL_CTL_MOD, fd, &event) == 0) return true;
     record_shortage("epoll_ctl", errno);
   }
   return false;
 }
 
-void remove_from_epoll(int monitor_fd, int fd) {
+void remove_from_epoll(int epoll_fd, int fd) {
   for (int tries = 0; tries < 10; ++tries)
-    if (::epoll_ctl(monitor_fd, EPOLL_CTL_DEL, fd, nullptr) == 0 || errno == ENOENT) return;
+    if (::epoll_ctl(epoll_fd, EPOLL_CTL_DEL, fd, nullptr) == 0 || errno == ENOENT) return;
 }
 
 int port_of(int fd) {
-  sockaddr_in a{};
-  socklen_t size = sizeof a;
-  return ::getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size) == 0 ? ntohs(a.sin_port) : -1;
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  return ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0 ? ntohs(address.sin_port) : -1;
 }
 
 }  // namespace troutstage::net
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,7 @@
-// Blocking TCP sockets on which every wait has a limit.
+// TCP sockets with a time limit on every wait, and the eventfd and epoll descriptors that wake threads.
+//
+// The functions may be called from any thread. The caller makes sure that the descriptor stays open during
+// the call.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,7 +18,8 @@
 
 namespace troutstage::net {
 
-// Owns a descriptor. Only the owner closes it; others may at most shut its connection down.
+// Owns a descriptor and closes it. Code that only knows its number may shut the connection down, but not
+// close it.
 class Fd {
  public:
   Fd() = default;
@@ -34,69 +38,91 @@
   int fd_ = -1;
 };
 
-sockaddr_in parse_address(std::string_view text);  // ADDRESS:PORT; throws Malformed
+sockaddr_in parse_address(std::string_view text);  // IPv4 ADDRESS:PORT; throws Malformed
 std::string address_text(const sockaddr_in& address);
-std::uint64_t pack_address(const sockaddr_in& address);  // of an address and its port, and back
+// Packs an address and its port into 64 bits; unpack_address() reverses this.
+std::uint64_t pack_address(const sockaddr_in& address);
 sockaddr_in unpack_address(std::uint64_t number);
 
-// Throws std::system_error. A shortage, and an address that a process which has just ended still holds, are
-// waited for.
+// Opens a non-blocking listener. Waits up to 3 s through a shortage, and up to 1 s for an address that a
+// process which has just ended still holds. Throws std::system_error.
 Fd listen_on(const sockaddr_in& address);
-// A listener that this process was started with. Throws Malformed where it is none, or listens elsewhere.
+// Takes over a listener that this process was started with, and makes it non-blocking. Throws Malformed if
+// `fd` is no listening socket or listens on another address, and std::system_error if its flags can't be set.
 Fd inherited_listener(int fd, const sockaddr_in& address);
-Fd new_socket();  // with no delay of small writes; empty where there is none to be had, also after some
-                  // milliseconds
-Fd new_event_fd();   // an event descriptor for waking a thread; throws std::system_error
-void signal_event(const Fd& event);  // until it is taken note of, it reads as ready
+// A socket with TCP_NODELAY. Retries through a shortage for up to 15 ms; empty if the system creates no
+// socket.
+Fd new_socket();
+// A non-blocking eventfd for waking a thread. Throws std::system_error.
+Fd new_event_fd();
+void signal_event(const Fd& event);  // makes `event` readable until clear_event()
 void clear_event(const Fd& event);
 Fd new_epoll_fd();  // an epoll descriptor; throws std::system_error
 
+// What one accept call came to.
 enum class AcceptOutcome {
   accepted,
-  none,      // nothing is there to accept
-  again,     // the call was interrupted, or one connection broke before it could be accepted: there may be
-             // others
-  shortage,  // of descriptors or memory: the connections stay in the queue
+  none,      // the accept queue is empty
+  again,     // the call was interrupted, or a connection failed before it was accepted: others may be queued
+  shortage,  // no descriptor or memory: the connections stay in the queue
   broken     // the listener can't be used
 };
+// The result of one accept call.
 struct AcceptResult {
   AcceptOutcome what = AcceptOutcome::none;
-  Fd fd;          // where it was taken, with no delay of small writes, whoever opened the listener
-  int error = 0;  // where it was not
+  Fd fd;          // if accepted, with TCP_NODELAY, whichever process opened the listener
+  int error = 0;  // errno, if not accepted
 };
+// Makes one accept call on a listener.
 AcceptResult accept_connection(int listener);
 
-// ended: the other side closes; short_of: this machine had no port, buffer or memory for it until the limit.
+// ended: the peer has closed; broken: the connection failed; late: the limit was reached; resource_shortage:
+// this machine had no port, buffer or memory until the limit.
 enum class IoResult { done, ended, broken, late, resource_shortage };
 
+// Connects `fd`. Repeats the call through shortages until `limit`, and for up to 20 ms if the network is
+// unreachable.
 IoResult connect_to(int fd, const sockaddr_in& address, TimePoint limit);
+// Waits until there is something to read or accept; done also if the peer has closed.
 IoResult wait_readable(int fd, TimePoint limit);
-// Appends what there is, once there is something. Each look at the connection is noted in `arrival`, where it is given.
+// Appends the bytes that have arrived to `into`; waits if there are none. Each check of the socket is
+// recorded in `arrival`, if given.
 IoResult read_some(int fd, std::string& into, TimePoint limit, core::ArrivalEstimate* arrival = nullptr);
+// Writes all bytes, or fails.
 IoResult write_all(int fd, std::string_view bytes, TimePoint limit);
-// A large body is not copied behind its head: a full node would hold all of them twice.
+// Writes head and body. A body over 4096 bytes is not copied behind its head, because a node with many
+// clients would hold every such body twice.
 IoResult write_head_and_body(int fd, std::string head, std::string_view body, TimePoint limit);
-// What stands at the head of what nobody has read. A look that fails is no answer.
+// What a peek at the unread bytes found. unknown: the peek failed and says nothing about the connection.
 enum class PeekResult { none, bytes, ended, broken, unknown };
-PeekResult peek_socket(int fd);
-// Whether nothing was there to read, or to accept, when this was called: what one call that found nothing says may be wrong,
-// so a second one is asked. Does not block; false also where that fails.
+PeekResult peek_socket(int fd);  // does not block
+// Whether poll() says that there is nothing to read or to accept. A single call that finds nothing may be
+// wrong, so callers ask this after a read, peek or accept that found nothing. Does not block; false also if
+// poll() fails.
 bool polls_unreadable(int fd);
-bool polls_readable(int fd);   // the opposite, with the same caution: false where the call fails
-bool is_open_and_empty(int fd);  // look_at() and polls_as_empty() agree: nothing has come, and it is open
-// Reads some of that without looking at it; `late`: there was none, and the connection is open.
-IoResult discard_unread(int fd, std::size_t& thrown);
-// How long ago the last bytes came, read or not, as the system says; nothing where it does not. What it says may be
-// wrong: see net/system_times.h.
+// Whether poll() says that there is something to read or to accept. Does not block; false also if poll()
+// fails.
+bool polls_readable(int fd);
+// Whether peek_socket() and polls_unreadable() agree that the connection is open and nothing is unread.
+bool is_open_and_empty(int fd);
+// Discards up to 1 MiB of unread bytes without blocking, and adds their number to `discarded`. late: nothing
+// was unread, and the connection is not known to be closed.
+IoResult discard_unread(int fd, std::size_t& discarded);
+// Time since the last bytes arrived, read or unread, as TCP_INFO reports it; nothing if it reports none. Some
+// systems report wrong times: see net/system_times.h.
 std::optional<std::chrono::milliseconds> time_since_last_receive(int fd);
-// How many bytes have come on a connection and are unread; nothing where the system does not tell, or tells of fewer than
-// are seen to be there.
+// Number of bytes that have arrived and are unread; nothing if the system does not report the number, or
+// reports fewer bytes than a peek finds.
 std::optional<std::size_t> unread_byte_count(int fd);
-bool is_reusable(int fd);      // surely open, and nothing has come: a connection that may be used again
-bool peer_has_closed(int fd);  // or reset it; also where what it sent before is unread still
-// Adds a socket to an epoll descriptor, or changes what is waited for on it. False: it is not watched.
-bool set_epoll_events(int monitor_fd, int fd, std::uint32_t events, std::uint64_t data);
-void remove_from_epoll(int monitor_fd, int fd);
+// Whether a peek finds the connection open and nothing unread, so that the connection may be used again.
+bool is_reusable(int fd);
+// Whether the peer has closed or reset the connection, even if bytes that the peer sent before are still
+// unread.
+bool peer_has_closed(int fd);
+// Adds a socket to an epoll descriptor, or changes its events and data. False: the socket is not monitored.
+bool set_epoll_events(int epoll_fd, int fd, std::uint32_t events, std::uint64_t data);
+void remove_from_epoll(int epoll_fd, int fd);
+// The local port; -1 on an error.
 int port_of(int fd);
 
 }  // namespace troutstage::net
--- a/src/net/threads.h
+++ b/src/net/threads.h
@@ -1,4 +1,4 @@
-// Threads with small stacks that are used again.
+// A bounded pool of detached threads with small stacks. Idle threads are reused, and end after a timeout.
 #pragma once
 
 #include <condition_variable>
@@ -9,29 +9,35 @@
 
 namespace troutstage::net {
 
+// Thread-safe. The destructor waits until every job has ended.
 class ThreadPool {
  public:
-  explicit ThreadPool(std::size_t most) : max_threads_(most) {}
+  explicit ThreadPool(std::size_t max_threads) : max_threads_(max_threads) {}
   ~ThreadPool() { finish(); }
-  // False: no thread is to be had. What a job throws is logged and ends only that job.
+  // Runs `job` on an idle thread or on a new one and returns at once. Returns false if the pool has its
+  // maximum of busy threads or the system creates no thread. A std::exception from a job is logged and ends
+  // only that job.
   bool run(std::function<void()> job);
-  void finish();  // waits until every job is done
+  // Waits until every job is done and every thread has ended. The pool may be used again after that. Must not
+  // be called from a job.
+  void finish();
 
  private:
-  // Where a thread waits for its next job. Whoever calls it has a share, since it may be gone meanwhile.
+  // Where an idle thread waits for its next job. run() shares ownership with the thread, because the thread
+  // may wake up by itself, do the job and end before run() has notified it.
   struct IdleWorker {
     std::condition_variable wake_up;
     std::function<void()> job;
   };
   struct ThreadStart;
 
-  static void* thread_main(void* start);
+  static void* thread_main(void* arguments);
   void run_jobs(std::function<void()> job);
 
   const std::size_t max_threads_;
   std::mutex lock_;
   std::condition_variable thread_ended_;
-  std::vector<std::shared_ptr<IdleWorker>> idle_workers_;  // the one that has been idle the longest first
+  std::vector<std::shared_ptr<IdleWorker>> idle_workers_;  // longest idle first
   std::size_t thread_count_ = 0;
   bool is_finishing_ = false;
 };
