--- a/src/core/answer_hold.h
+++ b/src/core/answer_hold.h
@@ -6,7 +6,8 @@
 //
 // If the deadline of the invocation is near, the answer is forwarded only when it is complete. An answer that
 // is incomplete at the deadline is too late however steadily it arrives, and it may never end. If the
-// deadline is far away, the answer is forwarded after the longest permitted buffering time.
+// deadline is far away, the answer is forwarded after the longest permitted buffering time, provided that its
+// average rate is high enough.
 //
 // Usage: call add_received() for each piece, and call at() after each piece and when next_decision_at() is
 // reached. The class does no I/O, reads no clock and is not thread-safe.
@@ -27,11 +28,11 @@
     give_up   // the deadline has passed: drop the answer
   };
 
-  // `begun`: when buffering starts.
-  // `due`: the deadline; until then the invocation can still get another final answer.
-  // `had`: the number of body bytes that were received before `begun`.
-  AnswerBuffering(TimePoint begun, TimePoint due, std::size_t had)
-      : started_at_(begun), deadline_(due), received_bytes_(had) {}
+  // `started_at`: when buffering starts.
+  // `deadline`: until then the invocation can still get another final answer.
+  // `received_bytes`: the number of body bytes that were received before `started_at`.
+  AnswerBuffering(TimePoint started_at, TimePoint deadline, std::size_t received_bytes)
+      : started_at_(started_at), deadline_(deadline), received_bytes_(received_bytes) {}
 
   // Adds the size of a piece that was received.
   void add_received(std::size_t bytes) { received_bytes_ += bytes; }
--- a/src/core/balancer.cpp
+++ b/src/core/balancer.cpp
@@ -71,7 +71,8 @@
   const TenthsOfMs elapsed =
       details.elapsed >= 0 ? details.elapsed
                            : clock_.now() - invocation->hand_offs.at(static_cast<std::size_t>(number)).at;
-  // Fix the final answer before the decision module gets the event: its actions come too late to change it.
+  // The final answer is fixed before the decision module gets the event, so its actions can't change the
+  // answer.
   if (is_first_success) finalize(*invocation);
   try {
     handle_event(lock, HandOffEnded{invocation->index, number, ending, invocation->is_final, elapsed,
@@ -193,7 +194,8 @@
   if (error) std::rethrow_exception(error);
 }
 
-// Reports withdrawn hand-offs as never sent. Their events may withdraw further hand-offs, hence the loop.
+// Reports the hand-offs in unsent_hand_offs_ as never sent. The resulting actions may add further hand-offs
+// to the queue, hence the loop.
 void Balancer::report_unsent() {
   while (!unsent_hand_offs_.empty()) {
     const HandOffEnded ended = unsent_hand_offs_.front();
--- a/src/core/balancer.h
+++ b/src/core/balancer.h
@@ -61,6 +61,7 @@
  public:
   Balancer(const Settings& settings, const Clock& clock);
 
+  // Accepts an invocation. The returned handle identifies the invocation in all further calls.
   InvocationHandle accept(const IncomingInvocation& incoming);
   // Blocks until there is an instruction. A call after a final instruction would block forever.
   Instruction next_instruction(const InvocationHandle& invocation);
@@ -129,7 +130,8 @@
   Decider decider_;
   std::vector<InvocationHandle> invocations_;  // by invocation index; empty: the index is free
   std::vector<Index> free_indices_, released_backends_;
-  // Hand-offs that were withdrawn before they were sent, still to be reported to the decider.
+  // Hand-offs that were withdrawn before they were sent, or that the urgent handler could not send; still to
+  // be reported to the decider.
   std::deque<HandOffEnded> unsent_hand_offs_;
   TenthsOfMs timer_due_ = INT64_MAX;  // the only timer; the decider counts on it until it gets TimerDue
   bool is_discovery_requested_ = false, is_stopped_ = false;
--- a/src/core/stop_plan.h
+++ b/src/core/stop_plan.h
@@ -25,7 +25,7 @@
 // Time in which a node with a fraction of one processor writes the answers that are due together.
 inline constexpr std::chrono::milliseconds kFinalAnswersTime{100};
 
-// Plans a shutdown that completes before SIGKILL. `longest`: the longest time limit of a workload.
-ShutdownPlan plan_shutdown(std::chrono::milliseconds longest);
+// Plans a shutdown that completes before SIGKILL. `longest_time_limit`: the longest of all workloads.
+ShutdownPlan plan_shutdown(std::chrono::milliseconds longest_time_limit);
 
 }  // namespace troutstage::core
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -9,7 +9,7 @@
 //
 // Four rules hold for every action. One function enforces each rule, and every hand-off or every final answer
 // passes through it:
-//   1 every invocation is answered in time   give_final_answer()
+//   1 one final answer, in time              give_final_answer()
 //   2 no invocation takes effect twice       may_repeat_at()
 //   3 no hand-off to a draining backend      may_send_to()
 //   4 no overload of a backend in slow start within_slow_start_budget()
@@ -69,7 +69,7 @@
 // nodes; the third is the most that one node allows.
 constexpr double kInitialFleetLimit = 10, kMinFleetLimit = 2, kMaxBackendLimit = 1000;
 // The concurrency limit of a backend settles where this share of its answers is slow (see slow_threshold()).
-constexpr double kTargetLateShare = 0.1;
+constexpr double kTargetSlowShare = 0.1;
 // A backend with recent failures is ready only if a draw from its success rate reaches this part of the
 // success rate of all backends.
 constexpr double kOutlierSuccessRatio = 0.8;
@@ -82,8 +82,8 @@
 // An answer is slow if it takes longer than this share of the latency objective.
 constexpr double kSlowObjectiveShare = 0.5;
 // The concurrency limit of the node settles where this share of the answers of all backends is slow.
-constexpr double kNodeTargetLateShare = 0.18;
-// How far one late answer moves a limit, as a share of the limit.
+constexpr double kNodeTargetSlowShare = 0.18;
+// How far one slow or late answer moves a limit, as a share of the limit.
 constexpr double kLimitStep = 0.3;
 constexpr int kMaxProbeRounds = 2;  // most pairs of backends that are probed for one invocation
 // A backend has capacity while the expected wait in its queue is below this share of the latency objective.
@@ -95,8 +95,8 @@
 constexpr double kSubsetPerInFlight = 3.5;
 // A hedged request is sent after this multiple of the mean latency.
 constexpr double kHedgeLatencyMultiple = 3;
-// The abandon check comes at most 1/kMinAllowanceDivisor of the time limit of an invocation before the limit.
-constexpr TenthsOfMs kMinAllowanceDivisor = 4;
+// The abandon check comes at most 1/kAllowanceDivisor of the time limit of an invocation before the limit.
+constexpr TenthsOfMs kAllowanceDivisor = 4;
 // An answer counts as still arriving while its last piece is no older than this.
 constexpr TenthsOfMs kMaxAnswerGap = 2500;
 constexpr int kMaxDraws = 12;  // random draws before all candidates are checked in turn
@@ -123,17 +123,19 @@
   Health health;
   // Health by workload: one workload may hang at a backend that answers the others well.
   std::vector<Health> workload_health;
-  int probes_in_flight = 0;
+  // How often the result of the probe in flight was requested; 0: no probe is in flight.
+  int probe_requests = 0;
   // Invocations of all nodes at the backend, divided by its weight: from the last probe, plus what this node
-  // has sent since; -1: unknown.
+  // has sent since. The part from the probe is 0 if the utilization is below kBusyUtilization. -1: unknown.
   double reported_load = -1;
   double sent_since_report = 0;  // part of reported_load that this node has sent since the report
   TenthsOfMs reported_at = 0;
   int idle_connections = 0;                    // open connections of this node that carry no request
   TenthsOfMs idle_connections_until = 0;       // when the keep-alive limit closes them
   bool is_running = false, in_subset = false;  // listed as running; in subset_
-  SlidingSum<16> work_done;                    // work of this node that the backend has finished
-  // In slow start: when to draw next whether this node may send one invocation per window (see
+  // Work of this node that the backend has finished, over about four slow-start windows.
+  SlidingSum<16> work_done;
+  // In slow start: when to draw next whether this node may send one invocation in a window (see
   // within_slow_start_budget()).
   TenthsOfMs next_draw_at = 0;
   bool is_draw_won = false;
@@ -324,8 +326,8 @@
     Invocation& invocation = invocations_[ended.invocation];
     HandOff& hand_off = invocation.hand_offs[ended.number];
     record_answer_time(invocation, ended);
-    // An early abandoned hand-off had about as much time as a hand-off that runs up to the limit, so its end
-    // counts as a time-out.
+    // A hand-off that was abandoned early had about as much time as a hand-off that runs up to the limit, so
+    // its end counts as a time-out.
     if (hand_off.was_abandoned && ended.ending == Ending::recalled) ended.ending = Ending::timed_out;
     Backend& backend = backends_[hand_off.backend];
     if (hand_off.execution != Execution::in_flight) return;
@@ -380,19 +382,20 @@
   void handle(const ProbeEnded& event) {
     if (event.backend >= backends_.size()) return;
     Backend& backend = backends_[event.backend];
-    backend.probes_in_flight = 0;
+    backend.probe_requests = 0;
     const LoadReport& load = event.report;
-    const double size = std::max(backend.weight, 1e-3);
-    backend.reported_load = std::max(-1.0, (load.outstanding >= 0 ? load.outstanding : load.backlog) / size);
+    const double weight = std::max(backend.weight, 1e-3);
+    backend.reported_load =
+        std::max(-1.0, (load.outstanding >= 0 ? load.outstanding : load.backlog) / weight);
     if (!event.succeeded) backend.reported_load = -1;
     else if (load.utilization >= 0 && load.utilization < kBusyUtilization) backend.reported_load = 0;
     backend.reported_at = now_;
     backend.sent_since_report = 0;
     if (load.backlog > 0 && load.throughput > 0)
-      service_rate_ += (load.throughput / size / kSecond - service_rate_) / (service_rate_ > 0 ? 32 : 1);
+      service_rate_ += (load.throughput / weight / kSecond - service_rate_) / (service_rate_ > 0 ? 32 : 1);
     for (std::size_t position = probing_.size(); position-- > 0;) {
       const auto [first, second] = invocations_[probing_[position]].probed_pair;
-      if (backends_[first].probes_in_flight == 0 && backends_[second].probes_in_flight == 0)
+      if (backends_[first].probe_requests == 0 && backends_[second].probe_requests == 0)
         finish_probing(probing_[position]);
     }
   }
@@ -451,7 +454,8 @@
   }
 
   // Closes an invocation: no further hand-off is sent for it, and hand-offs in flight are cancelled, since
-  // some backends then stop working on them.
+  // some backends then stop working on them. If an answer is already being forwarded, no hand-off is
+  // cancelled.
   void finish(Index index) {
     Invocation& invocation = invocations_[index];
     invocation.is_open = false;
@@ -590,7 +594,7 @@
   void schedule_abandon_check(Index index) {
     Invocation& invocation = invocations_[index];
     const TenthsOfMs allowance =
-        std::min(pause_allowance_, (invocation.valid_until - invocation.arrived) / kMinAllowanceDivisor);
+        std::min(pause_allowance_, (invocation.valid_until - invocation.arrived) / kAllowanceDivisor);
     if (allowance <= 0) return;
     invocation.abandon_check_at = invocation.valid_until - answer_margin_ - allowance;
     schedule_check(invocation.abandon_check_at, index);
@@ -621,8 +625,9 @@
   // ---- choosing a backend
 
   // The time until which an answer has any value. For a non-idempotent invocation without value after the
-  // latency objective, the objective is the end: its client does not retry, so ending it causes no work, and
-  // where the time-out makes the backend stop, a huge invocation no longer blocks the backend.
+  // latency objective, whose body was complete on arrival, the objective is the end: its client does not
+  // retry, so ending it causes no work, and where the time-out makes the backend stop, a huge invocation no
+  // longer blocks the backend.
   TenthsOfMs useful_until(const Invocation& invocation) const {
     const Workload& workload = workloads_[invocation.workload];
     return invocation.has_streaming_body || workload.late_value_share > 0 ||
@@ -772,7 +777,7 @@
     probing_.push_back(index);
     for (Index candidate : invocation.probed_pair) {
       Backend& backend = backends_[candidate];
-      if (backend.probes_in_flight++ == 0) actions_.push_back({ActionKind::probe, kNone, candidate, 0, 0});
+      if (backend.probe_requests++ == 0) actions_.push_back({ActionKind::probe, kNone, candidate, 0, 0});
     }
   }
   // Hands off the invocation if one of the probed backends is ready, else tries other backends, queues it or
@@ -827,8 +832,9 @@
            may_repeat_at(invocation, backend) && within_slow_start_budget(backend, budgeted_work(invocation));
   }
 
-  // Whether the reported load leaves time for one more invocation: by the wait in the queue of the backend if
-  // the service rate is known, else by the load at which answers have been in time.
+  // Whether the reported load leaves time for one more invocation: the load must not exceed load_limit_,
+  // which is learned from the times of answers. If the service rate is known, the wait in the queue of the
+  // backend must be short as well.
   bool has_capacity(const Invocation& invocation, const Backend& backend) const {
     const double max_queue = kMaxQueueWaitShare * service_rate_ *
                              static_cast<double>(workloads_[invocation.workload].latency_objective);
@@ -838,15 +844,15 @@
   void update_load_limit(const HandOff& hand_off, const Invocation& invocation, const HandOffEnded& ended) {
     const bool is_late = ended.ending == Ending::timed_out ||
                          ended.elapsed > workloads_[invocation.workload].latency_objective;
-    // Only a late answer from within the limit shows that the limit is too high: late answers of a burst
-    // still arrive long after the limit has been lowered.
+    // Only a late answer to a hand-off that was sent within the limit shows that the limit is too high: late
+    // answers of a burst still arrive long after the limit has been lowered.
     if (is_late && hand_off.reported_load <= load_limit_)
-      load_limit_ = std::min(load_limit_, hand_off.reported_load) * (1 - kLimitStep * (1 - kTargetLateShare));
+      load_limit_ = std::min(load_limit_, hand_off.reported_load) * (1 - kLimitStep * (1 - kTargetSlowShare));
     else if (!is_late && hand_off.reported_load > load_limit_ / 2)
-      load_limit_ *= 1 + kLimitStep * kTargetLateShare;
+      load_limit_ *= 1 + kLimitStep * kTargetSlowShare;
   }
   // Nodes that learn of the same free backend at once would overload it together. So each node hands off only
-  // a share of its new invocations. The share grows while probing ends with a backend. It shrinks, and does
+  // a share of its new invocations. The share grows while probing finds a ready backend. It shrinks, and does
   // so faster, when the last pair has no capacity.
   void update_admitted_share(const Invocation& invocation, bool is_found) {
     if (service_rate_ <= 0 || (!is_found && invocation.probe_rounds < kMaxProbeRounds)) return;
@@ -874,8 +880,8 @@
     while (subset_.size() < wanted_size) {
       Index added = kNone;
       for (int tries = 0; tries < kMaxDraws && added == kNone; ++tries) {
-        // Half of the subset is in the zone of this node if a link between zones costs more than a new
-        // connection.
+        // Half of the subset is in the zone of this node if probes are allowed and a link between zones costs
+        // more than a new connection.
         const bool prefers_near = prefers_own_zone_ && 2 * subset_in_zone_.size() < wanted_size &&
                                   subset_in_zone_.size() < running_in_zone_.size();
         const std::vector<Index>& candidates = prefers_near ? running_in_zone_ : running_backends_;
@@ -924,8 +930,8 @@
     if (ended.ending == Ending::never_sent) return;
     Health &own = backend.workload_health[invocation.workload],
            &fleet = fleet_health_by_workload_[invocation.workload];
-    // A client that leaves after a slow wait shows a problem of its workload at this backend, and nothing
-    // about other workloads.
+    // A hand-off that is cancelled after a slow wait, for example when its client leaves, shows a problem of
+    // its workload at this backend, and nothing about other workloads.
     if (ended.ending == Ending::recalled) {
       if (ended.elapsed > slow_threshold(invocation)) record_outcome(own, fleet, false, true);
       return;
@@ -955,9 +961,9 @@
          std::pow(failure_share, health.consecutive_failures - 1) >= kMinRunProbability))
       health.successes.clear(), health.failures.clear(),
           health.failures.add(now_, health.consecutive_failures - 1);
-    // A busy backend answers some invocations in time and others late. Late answers count as failures only if
-    // none in time came between them, or at once if this node hears from the backend too rarely to know
-    // better.
+    // A busy backend answers some invocations in time and others late. A late answer counts as a failure if
+    // it is at least the third failure in a row, or if this node hears from the backend so rarely that it has
+    // no recent success to weigh against the late answer.
     if (is_late && health.consecutive_failures < 3 && health.successes.total(now_) >= 1) return true;
     health.failures.add(now_, 1), fleet.failures.add(now_, 1);
     return false;
@@ -987,7 +993,8 @@
     return draw_exceeds(health.successes.total(now_), health.failures.total(now_),
                         kOutlierSuccessRatio * fleet_share);
   }
-  // Whether the mean of that distribution is so low that most draws exclude the backend.
+  // Whether the posterior mean of the success rate is so low that most draws of draw_is_healthy() exclude the
+  // backend.
   bool is_outlier(Health& health) {
     const double successes = health.successes.total(now_), failures = health.failures.total(now_),
                  fleet_successes = fleet_health_.successes.total(now_) + 1;
@@ -1014,7 +1021,7 @@
     if (ended.ending == Ending::error || ended.ending == Ending::recalled ||
         ended.ending == Ending::never_sent)
       return;
-    const bool is_late = ended.ending != Ending::succeeded || ended.elapsed > slow_threshold(invocation);
+    const bool is_slow = ended.ending != Ending::succeeded || ended.elapsed > slow_threshold(invocation);
     // With many nodes, each of them sees too few answers of one backend; the answers of all backends together
     // show an overload in time.
     const double recovery_factor =
@@ -1023,7 +1030,7 @@
     const double node_step = std::min(kLimitStep * node_concurrency_limit_, 1.0);
     if (is_near_limit())
       node_concurrency_limit_ +=
-          node_step * (is_late ? kNodeTargetLateShare - 1 : kNodeTargetLateShare * recovery_factor);
+          node_step * (is_slow ? kNodeTargetSlowShare - 1 : kNodeTargetSlowShare * recovery_factor);
     node_concurrency_limit_ =
         std::max({0.1, node_concurrency_limit_, min_limit_ * static_cast<double>(running_backends_.size())});
     // A lost connection says nothing about the capacity of a backend. Counted here, it would keep the limit
@@ -1032,9 +1039,9 @@
     const double step =
         // Over one round of answers, small and large limits move by the same share.
         std::min(kLimitStep * backend.concurrency_limit, 1.0);
-    if (is_late) backend.concurrency_limit -= step * (1 - kTargetLateShare);
+    if (is_slow) backend.concurrency_limit -= step * (1 - kTargetSlowShare);
     else if (hand_off.in_flight_before + 1 > backend.concurrency_limit / 2 || is_near_limit())
-      backend.concurrency_limit += step * kTargetLateShare;
+      backend.concurrency_limit += step * kTargetSlowShare;
     backend.concurrency_limit = std::clamp(backend.concurrency_limit, min_limit_, kMaxBackendLimit);
   }
 
@@ -1047,7 +1054,8 @@
                                    static_cast<double>(workloads_[invocation.workload].latency_objective) *
                                    relative_size(invocation));
   }
-  // Expected size of an invocation relative to the mean of its workload: 1 without a hint.
+  // Expected duration of an invocation relative to the mean of its workload. One half is fixed, the other
+  // half is in proportion to the hint. 1 without a hint.
   double relative_size(const Invocation& invocation) const {
     return invocation.has_hint ? 0.5 + 0.5 * invocation.work / mean_work_[invocation.workload] : 1;
   }
@@ -1066,9 +1074,9 @@
     const TenthsOfMs wait_until = invocation.arrived + max_wait;
     // With no hand-off in flight, none would end and serve the queue: the invocation would only be delayed.
     const bool is_node_idle = total_in_flight_ == 0 && !running_backends_.empty();
-    const bool is_late = wait_until <= now_ || now_ + answer_margin_ >= invocation.valid_until;
+    const bool is_wait_over = wait_until <= now_ || now_ + answer_margin_ >= invocation.valid_until;
     if (is_node_idle || invocation.is_client_retry || invocation.is_body_consumed ||
-        cannot_finish_in_time(invocation) || is_late || !may_reject(invocation))
+        cannot_finish_in_time(invocation) || is_wait_over || !may_reject(invocation))
       return give_final_answer(index);
     invocation.is_queued = true;
     queue_.push_back(index);
@@ -1142,7 +1150,7 @@
   void release_if_gone(Index index) {
     Backend& backend = backends_[index];
     if (!backend.is_known || backend.is_listed || backend.remembered_hand_offs > 0 ||
-        backend.probes_in_flight > 0)
+        backend.probe_requests > 0)
       return;
     backend = Backend{};
     actions_.push_back({ActionKind::release, kNone, index, 0, 0});
@@ -1231,7 +1239,8 @@
   std::vector<policy::AnswerProbability> answer_probability_;  // by workload
   int total_in_flight_ = 0;
   double load_limit_ = 1e9;  // highest reported load of a backend with capacity, learned from all answers
-  // What backends with a backlog get done, in invocations per tenth of a millisecond and weight; 0: unknown.
+  // What backends with a backlog get done, in invocations per tenth of a millisecond and unit of weight. 0 if
+  // unknown.
   double service_rate_ = 0;
   double admitted_share_ = 1;  // share of new invocations that is handed off
   TenthsOfMs admitted_share_at_ = 0;
--- a/src/decide.h
+++ b/src/decide.h
@@ -16,8 +16,8 @@
 using Index = std::uint32_t;      // dense index that an id gets when it is first seen
 inline constexpr Index kNone = UINT32_MAX;
 
-// Whether an invocation that may have run may be sent again: always; with its idempotency key, to the
-// backends and for the time that detect a repeat; never.
+// Whether an invocation that may have run may be sent again. idempotent: always. idempotency_keyed: only to
+// backends that detect a repeat of its idempotency key, and only while they do. non_idempotent: never.
 enum class Semantics { idempotent, idempotency_keyed, non_idempotent };
 // The backends that detect a repeated idempotency key: all of them, or those in the zone or the cell of the
 // first one.
@@ -47,7 +47,8 @@
   int max_hand_offs = 1;                // per invocation
   bool is_discovery_on_request = true;  // the backend list arrives only after the action watch_discovery
   bool may_cancel = false;              // hand-offs in flight may be cancelled
-  bool may_probe = false;  // a probe's answer reports the load that all nodes together put on the backend
+  // Probes are allowed. The answer to a probe reports the load that all nodes together put on the backend.
+  bool may_probe = false;
   bool may_hedge = false;  // hedged requests are allowed
   bool client_honors_retry_after = false;
   bool is_billed_by_work = false;
@@ -64,7 +65,8 @@
   TenthsOfMs discovery_retry_within = 0;  // discovery that failed is asked again well within this time
   TenthsOfMs slow_start_window = 0;       // work sent to a backend in slow start is summed over this time
   TenthsOfMs slow_start_duration = 0;     // from the start of a backend to its full capacity
-  double slow_start_multiple = 1;         // sent more than this multiple of its capacity, a backend fails
+  // A backend in slow start fails if it is sent more than this multiple of its capacity.
+  double slow_start_multiple = 1;
   // Part of this node's slow-start budget that this process may use; another process of the node may use the
   // rest.
   double slow_start_budget_share = 1;
@@ -122,10 +124,10 @@
 // A hand-off ended. Every action hand_off leads to this event, also after a cancel.
 struct HandOffEnded {
   Index invocation = kNone;
-  int number = 0;
+  int number = 0;  // of the hand-off within its invocation, from 0
   Ending ending = Ending::succeeded;
-  bool is_final = false;  // the invocation has its final answer
-  TenthsOfMs elapsed = 0;
+  bool is_final = false;          // the invocation has its final answer
+  TenthsOfMs elapsed = 0;         // since the hand-off was sent
   bool is_body_consumed = false;  // no part of the body is left that could be sent again
 };
 // The answer of this hand-off is being forwarded to the client: the invocation can get no other answer.
@@ -159,8 +161,8 @@
   LoadReport report;
 };
 
-// Replaces the settings for invocations that arrive from now on. Unfinished invocations keep the terms of
-// their workload and their number of hand-offs.
+// Replaces the settings for invocations that arrive from now on. Unfinished invocations keep the settings
+// of their workload and the maximum number of their hand-offs.
 struct NewSettings {
   // Seed, zone, tick and slow_start_window keep their old values.
   std::shared_ptr<const Settings> settings;
--- a/src/policy/connection_reuse.cpp
+++ b/src/policy/connection_reuse.cpp
@@ -2,8 +2,8 @@
 
 namespace troutstage::policy {
 
-void ConnectionReuse::record_quiet(BackendInstanceId backend, Duration rested, TimePoint now) {
-  if (rested < proving_cooldown(backend)) return;
+void ConnectionReuse::record_quiet(BackendInstanceId backend, Duration idle_time, TimePoint now) {
+  if (idle_time < proving_cooldown(backend)) return;
   Record& record = records_[backend];
   record.updated_at = now;
   if (record.proofs < rules_.proofs) ++record.proofs;
--- a/src/policy/connection_reuse.h
+++ b/src/policy/connection_reuse.h
@@ -36,8 +36,9 @@
   using BackendInstanceId = std::uint64_t;
 
   explicit ConnectionReuse(const ReuseRules& rules) : rules_(rules) {}
-  // No byte arrived on a connection that was idle for `rested`.
-  void record_quiet(BackendInstanceId backend, Duration rested, TimePoint now);
+  // No byte arrived on a connection that was idle for `idle_time`. Has no effect if `idle_time` is shorter
+  // than proving_cooldown().
+  void record_quiet(BackendInstanceId backend, Duration idle_time, TimePoint now);
   // Bytes arrived that belong to no request of this node.
   void record_unsolicited_bytes(BackendInstanceId backend, TimePoint now);
   // False: connections to the backend have to be closed after one answer.
