--- a/src/net/failures.h
+++ b/src/net/failures.h
@@ -44,7 +44,8 @@
 inline constexpr std::chrono::milliseconds kStartRetryTime{3000};
 // Repeats a call while it fails with an interrupt or a shortage. `call` returns whether the call succeeded,
 // and leaves its error in errno otherwise; `name` is the name of the system call for the log. Returns false,
-// with that errno, after any other error or when the retry time is over. Exceptions from `call` propagate.
+// with the errno of the last call, after any other error or when the retry time is over. Exceptions from
+// `call` propagate.
 template <class Call>
 bool retry_on_shortage(std::string_view name, Call call,
                        std::chrono::milliseconds retry_time = kStartRetryTime) {
--- a/src/net/file_reader.cpp
+++ b/src/net/file_reader.cpp
@@ -18,7 +18,7 @@
   std::uint64_t number = 0;
   bool may_start = false;
   {
-    std::lock_guard held(state_->lock);
+    std::lock_guard lock(state_->lock);
     number = ++state_->last_requested;
     may_start = state_->reads_in_progress < kMaxReadsInProgress;
     ++state_->reads_in_progress;
@@ -42,7 +42,7 @@
 }
 
 void FileReader::complete(SharedState& state, std::uint64_t number, FileReadResult result) {
-  std::lock_guard held(state.lock);
+  std::lock_guard lock(state.lock);
   --state.reads_in_progress;
   if (number < state.last_finished) return;  // a newer read ended first, and its result stays
   state.last_finished = number;
@@ -51,8 +51,8 @@
 }
 
 std::optional<FileReadResult> FileReader::wait_for_result() {
-  std::unique_lock held(state_->lock);
-  state_->changed.wait(held,
+  std::unique_lock lock(state_->lock);
+  state_->changed.wait(lock,
                        [this] { return state_->stopped || state_->last_finished > state_->last_returned; });
   if (state_->stopped) return std::nullopt;
   state_->last_returned = state_->last_finished;
@@ -60,7 +60,7 @@
 }
 
 void FileReader::stop() {
-  std::lock_guard held(state_->lock);
+  std::lock_guard lock(state_->lock);
   state_->stopped = true;
   state_->changed.notify_all();
 }
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -16,12 +16,13 @@
 
 // The node's clock starts at this value.
 constexpr TenthsOfMs kDay = 24 * 3600 * TenthsOfMs{10000};
-// Interval at which the accepting and the housekeeping thread check the state of the node.
+// Interval at which threads check the state of the node. Without a process pair the housekeeping thread does
+// so at five times this interval.
 constexpr std::chrono::milliseconds kPollInterval{50};
 constexpr std::chrono::milliseconds kSlowReadTime{500};  // a request that takes longer to arrive is slow
 // Stalls of the process from this length on are counted and logged.
 constexpr std::chrono::milliseconds kMinReportedStall{50};
-// Before a thread whose job threw an exception restarts.
+// Before a thread restarts its job, which threw an exception.
 constexpr std::chrono::milliseconds kThreadRestartDelay{10};
 // Before accepting again after a failure.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{1}, kAcceptShortageDelay{10};
@@ -130,6 +131,7 @@
             if (gap >= kMinReportedStall) counters_.record_stall(gap);
           }),
       hand_off_threads_(2 * connection_budget(config_)), client_threads_(2 * connection_budget(config_)),
+      // Eight threads of start(), and one that checks the system's receive times.
       internal_threads_(9) {
   DiscoveryList cached_list;
   if (!config_.known.empty()) cached_list = directory_.read(config_.known);
@@ -197,8 +199,8 @@
     throw std::runtime_error("can't start the thread for " + std::string(what));
 }
 
-// If no thread is available, arrival times come only from the checks of each socket until the next request
-// starts this again.
+// If no thread is available, arrival times come only from the checks of each socket, until the next request
+// requests this check again.
 void Node::request_system_time_check() {
   if (is_system_time_check_requested_.exchange(true)) return;
   ++counters_.system_times_checks;
@@ -217,24 +219,24 @@
     {
       // Nothing is accepted while the whole reserve is in use: accept must not be the call that finds no
       // descriptor.
-      std::unique_lock held(lock_);
-      changed_.wait_for(held, kPollInterval, [this] { return over_budget_ < rejection_reserve_; });
+      std::unique_lock lock(lock_);
+      changed_.wait_for(lock, kPollInterval, [this] { return over_budget_ < rejection_reserve_; });
       if (over_budget_ >= rejection_reserve_) {
-        held.unlock();
+        lock.unlock();
         if (is_closing_connections_ && TimePoint::clock::now() >= answer_deadline_.load()) break;
         if (is_paired_) idle_connections_.close_least_useful(true);
         continue;
       }
     }
-    // After a hand-over the successor accepts the queued connections. A successor accepts nothing before it
-    // can serve.
+    // From the hand-over on, the successor accepts the queued connections. A process that was passed its
+    // listener accepts nothing before it can serve.
     if (is_handing_over_) break;
     if (process_pair_ && node_state_.phase() == core::NodeState::Phase::starting) {
-      std::unique_lock held(lock_);
-      changed_.wait_for(held, std::chrono::milliseconds(10));
+      std::unique_lock lock(lock_);
+      changed_.wait_for(lock, std::chrono::milliseconds(10));
       continue;
     }
-    // A node that stops still serves the connections that are in its accept queue by then.
+    // A node that stops still serves the connections that wait in its accept queue.
     const bool is_stopping = is_closing_connections_;
     if (is_stopping && TimePoint::clock::now() >= answer_deadline_.load()) break;
     if (!is_stopping && !may_have_more_queued_) wait_for_connection();
@@ -244,14 +246,14 @@
       accept_queue_estimate_.no_bytes_until(checked_at);
     if (!handle_accept(std::move(result), is_stopping)) break;
   }
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   listener_.reset();
   accept_loop_ended_ = true;
   changed_.notify_all();
 }
 
-// Waits until there is a connection to accept, or until the next check of the queue is due regardless,
-// because the wait may have missed a connection.
+// Waits until there is a connection to accept, or until the next check of the accept queue is due. The queue
+// is checked in either case, because the wait may miss a connection.
 void Node::wait_for_connection() {
   const IoResult io =
       wait_readable(listener_.get(), TimePoint::clock::now() + core::ArrivalEstimate::kCheckInterval);
@@ -285,8 +287,8 @@
     if (!idle_connections_.close_least_useful(consecutive_accept_shortages_ < kShortagesBeforeClosingNew))
       abort_slow_reads(kSlowReadTime);
   }
-  std::unique_lock held(lock_);
-  changed_.wait_for(held, kAcceptShortageDelay);
+  std::unique_lock lock(lock_);
+  changed_.wait_for(lock, kAcceptShortageDelay);
   return true;
 }
 
@@ -327,15 +329,15 @@
     // connection would close the connection before it, whose request is still unread.
     if (idle_connections_.close_least_useful(is_paired_)) continue;
     if (!abort_slow_reads(kSlowReadTime)) return false;
-    std::unique_lock held(lock_);
-    changed_.wait_for(held, std::chrono::milliseconds(5));
+    std::unique_lock lock(lock_);
+    changed_.wait_for(lock, std::chrono::milliseconds(5));
   }
   return false;
 }
 
 // Slow senders must not use up the budget and keep out all other clients.
 bool Node::abort_slow_reads(std::chrono::milliseconds min_age) {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   bool has_aborted = false;
   for (ActiveRead* read : active_reads_) {
     if (read->is_aborted_ || TimePoint::clock::now() - read->started_at_ < min_age) continue;
@@ -346,21 +348,21 @@
 }
 
 Node::ActiveRead::ActiveRead(Node& node, int fd) : node_(node), fd_(fd) {
-  std::lock_guard held(node_.lock_);
+  std::lock_guard lock(node_.lock_);
   node_.active_reads_.insert(this);
 }
 Node::ActiveRead::~ActiveRead() {
-  std::lock_guard held(node_.lock_);
+  std::lock_guard lock(node_.lock_);
   node_.active_reads_.erase(this);
 }
 // A request that arrived whole in spite of the abort is answered all the same, as the last on its connection.
 bool Node::ActiveRead::was_aborted() const {
-  std::lock_guard held(node_.lock_);
+  std::lock_guard lock(node_.lock_);
   return is_aborted_;
 }
 
-// No client can open another connection to a node that stops. When a client found all of its connections to
-// the node busy, none of them was used any more, and all requests were without a node; so a few connections
+// No client can open another connection to a node that stops. A client that found all of its connections to
+// the node busy no longer used any of them, and all of its requests were without a node; so a few connections
 // are kept idle.
 bool Node::needs_idle_connections() {
   return node_state_.phase() == core::NodeState::Phase::stopping && !is_handing_over_ &&
@@ -369,51 +371,51 @@
 }
 
 void Node::run_housekeeping() {
-  std::unique_lock held(lock_);
+  std::unique_lock lock(lock_);
   while (!stopped_) {
-    changed_.wait_for(held, process_pair_ ? kPollInterval : 5 * kPollInterval, [this] { return stopped_; });
-    held.unlock();
+    changed_.wait_for(lock, process_pair_ ? kPollInterval : 5 * kPollInterval, [this] { return stopped_; });
+    lock.unlock();
     pool_.close_expired();
     close_idle_when_draining();
     if (process_pair_) update_process_pair();
-    held.lock();
+    lock.lock();
   }
 }
 
 void Node::connection_opened(bool is_within_budget) {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   ++open_connections_;
   if (!is_within_budget) ++over_budget_;
 }
 void Node::connection_closed(bool was_within_budget) {
   if (was_within_budget) budget_.give_back(Side::clients);
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   --open_connections_;
   if (!was_within_budget) --over_budget_;
   changed_.notify_all();
 }
 
 // Builds the request configuration for `new_settings`. Returns in `indexed_settings` the same settings with
-// their workloads by registry index, and in `inherits_from` the index of the workload whose history each of
-// them continues. Reads no file and takes no lock.
+// their workloads by registry index, and in `inherits_from` the index of the workload whose learned state
+// each workload inherits. Reads no file and takes no lock.
 std::shared_ptr<const RequestConfig> Node::build_request_config(
     Settings new_settings, const NameIndices& new_names, std::shared_ptr<const Settings>& indexed_settings,
     std::vector<Index>& inherits_from) {
   std::vector<std::string> names_by_index(new_settings.workloads.size());
   for (const auto& [name, index] : new_names.workloads) names_by_index[index] = name;
-  core::WorkloadRegistry::Assignment plan =
+  core::WorkloadRegistry::Assignment assignment =
       workload_registry_.apply_settings(names_by_index, new_settings.workloads);
   auto request_config = std::make_shared<RequestConfig>();
   for (std::size_t i = 0; i < names_by_index.size(); ++i)
-    request_config->workloads[names_by_index[i]] = {plan.workload_handles[i],
+    request_config->workloads[names_by_index[i]] = {assignment.workload_handles[i],
                                                     new_settings.workloads[i].semantics,
                                                     counters_.answers.of(names_by_index[i])};
   request_config->tenants = new_names.tenants;
   request_config->may_cancel = new_settings.may_cancel;
   request_config->connect_timeout = std::chrono::microseconds(new_settings.connect_timeout * 100);
-  new_settings.workloads = std::move(plan.workloads);
+  new_settings.workloads = std::move(assignment.workloads);
   indexed_settings = std::make_shared<const Settings>(std::move(new_settings));
-  inherits_from = std::move(plan.inherits_from);
+  inherits_from = std::move(assignment.inherits_from);
   return request_config;
 }
 
@@ -462,7 +464,7 @@
         build_request_config(new_config.settings, new_config.names, indexed_settings, inherits_from);
     balancer_.apply_settings(indexed_settings, std::move(inherits_from));
     {
-      std::lock_guard held(lock_);
+      std::lock_guard lock(lock_);
       request_config_.swap(request_config);
       settings_ = indexed_settings;
     }
@@ -481,18 +483,18 @@
 }
 
 std::shared_ptr<const Settings> Node::settings() const {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   return settings_;
 }
 
 std::shared_ptr<const RequestConfig> Node::request_config() const {
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   return request_config_;
 }
 
 bool Node::drain() {
   if (node_state_.phase() != core::NodeState::Phase::draining) {
-    std::lock_guard held(lock_);
+    std::lock_guard lock(lock_);
     drained_since_ = TimePoint::clock::now();
   }
   if (!node_state_.drain()) return false;
@@ -509,7 +511,7 @@
 void Node::close_idle_when_draining() {
   if (node_state_.phase() != core::NodeState::Phase::draining) return;
   {
-    std::lock_guard held(lock_);
+    std::lock_guard lock(lock_);
     if (TimePoint::clock::now() - drained_since_ < kDrainNoticeTime) return;
   }
   idle_connections_.close_idle(false);
@@ -519,7 +521,7 @@
 // may be sent to backends in slow start; a single process has all of it.
 void Node::update_process_pair() {
   const bool is_paired = process_pair_->is_other_running();
-  if (process_pair_->is_successor() && TimePoint::clock::now() - started_ > kSuccessorListWait &&
+  if (process_pair_->is_successor() && TimePoint::clock::now() - started_at_ > kSuccessorListWait &&
       node_state_.phase() == core::NodeState::Phase::starting)
     node_state_.mark_started();
   is_paired_ = is_paired;
@@ -535,7 +537,8 @@
   apply_fleet_settings(std::move(updated));
 }
 
-// Shared budgets follow the number of nodes in the agreed membership view, not the number in the settings.
+// Shared budgets follow the share that the membership gives this node, not the number of nodes in the
+// settings.
 void Node::set_node_count(int nodes) {
   std::lock_guard settings_guard(settings_lock_);
   if (node_count_ == nodes) return;
@@ -552,7 +555,7 @@
   std::vector<Index> inherits_from;
   for (Index n = 0; n < updated->workloads.size(); ++n) inherits_from.push_back(n);
   balancer_.apply_settings(updated, std::move(inherits_from));
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   settings_ = updated;
 }
 
@@ -602,34 +605,34 @@
   // that they need not detect the loss.
   if (peers_ && is_handing_over_) peers_->hand_over_to_successor();
   else if (peers_) peers_->leave();
-  std::unique_lock held(lock_);
+  std::unique_lock lock(lock_);
   // A successor accepts the clients' next connections, so each connection is closed after its next answer,
   // and an idle connection after a time in which most clients have sent a request.
   if (is_handing_over_)
-    changed_.wait_until(held, requested_at + kDrainNoticeTime, [this] { return open_connections_ == 0; });
-  else changed_.wait_until(held, requested_at + plan.accept_for, [] { return false; });
+    changed_.wait_until(lock, requested_at + kDrainNoticeTime, [this] { return open_connections_ == 0; });
+  else changed_.wait_until(lock, requested_at + plan.accept_for, [] { return false; });
   // Clients use their connections for as long as these stay open, and may know no other node. When
   // connections were closed at once, stopping two nodes one after the other left all requests without a node.
   if (!is_handing_over_)
-    changed_.wait_until(held, requested_at + plan.keep_connections_for,
+    changed_.wait_until(lock, requested_at + plan.keep_connections_for,
                         [this] { return open_connections_ == 0; });
   is_closing_connections_ = true;
   log_phase("leaving", open_connections_);
   while (open_connections_ > 0 || !accept_loop_ended_) {
-    held.unlock();
+    lock.unlock();
     const bool is_past_deadline = has_deadline && TimePoint::clock::now() > requested_at + plan.answer_within;
     idle_connections_.close_idle(is_past_deadline);
     if (is_past_deadline) abort_slow_reads({});
     else if (!is_handing_over_ || TimePoint::clock::now() > requested_at + kMaxHeadTime)
       abort_slow_reads(kSlowReadTime);
-    held.lock();
-    changed_.wait_for(held, std::chrono::milliseconds(20),
+    lock.lock();
+    changed_.wait_for(lock, std::chrono::milliseconds(20),
                       [this] { return open_connections_ == 0 && accept_loop_ended_; });
   }
   stopped_ = true;
   log_phase("clients gone", open_connections_);
   changed_.notify_all();
-  held.unlock();
+  lock.unlock();
   client_threads_.finish();
   hand_off_threads_.finish();
   balancer_.stop();
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -36,7 +36,8 @@
   TenthsOfMs now() const override;
   TimePoint at(TenthsOfMs when) const override;
   TenthsOfMs to_ticks(TimePoint when) const;
-  // What to add to a Unix time to convert it, measured when the node started.
+  // What to add to a Unix time in tenths of a millisecond to get a time of this clock. Measured once, when
+  // the node started.
   TenthsOfMs wall_offset() const { return wall_offset_; }
 
  private:
@@ -51,10 +52,11 @@
  public:
   explicit Node(Config config);  // opens the listener, or throws
   ~Node();
-  // Starts the node's threads, or throws std::runtime_error. The node serves from here on.
+  // Starts the node's threads, or throws std::runtime_error. The node accepts connections from here on; if
+  // its listener was passed to this process, only once the node can serve.
   void start();
   // Shuts down gracefully: blocks until every open invocation is answered and every thread has ended. `plan`
-  // says how long each phase lasts. Only the first call has an effect.
+  // says how long each phase lasts. Later calls have no effect and return at once.
   void stop(const ShutdownPlan& plan);
   // drain() makes the node report that it is not ready and close its client connections, without losing what
   // the node has learned. activate() reverses this. Both may be repeated, and return false once the node is
@@ -102,7 +104,8 @@
 
   std::shared_ptr<const RequestConfig> request_config() const;
   // Builds the request configuration of new settings: see node.cpp.
-  std::shared_ptr<const RequestConfig> build_request_config(Settings new_settings, const NameIndices& names,
+  std::shared_ptr<const RequestConfig> build_request_config(Settings new_settings,
+                                                            const NameIndices& new_names,
                                                             std::shared_ptr<const Settings>& indexed_settings,
                                                             std::vector<Index>& inherits_from);
   bool closes_connections_after_answer() const {
@@ -111,7 +114,7 @@
   }
   void close_idle_when_draining();
   void update_process_pair();
-  void set_node_count(int nodes);  // divides shared budgets by this number of nodes
+  void set_node_count(int nodes);  // divides shared budgets by this number from now on
   void apply_fleet_settings(std::shared_ptr<Settings> updated);
   void run_reloads();  // applies each file that the file reader has read, until the reader stops
   void reload_from(const std::string& text, const std::string& path);
@@ -129,7 +132,7 @@
   bool acquire_budget();                                             // false: the budget is exhausted
   // Aborts reads that have lasted for `min_age` or longer; false: there are none.
   bool abort_slow_reads(std::chrono::milliseconds min_age);
-  // During shutdown: whether too few client connections are idle.
+  // Whether too few client connections are idle during a shutdown without a successor.
   bool needs_idle_connections();
   void run_housekeeping();
   void connection_opened(bool is_within_budget);  // connection_closed() reverses this
@@ -141,7 +144,7 @@
   std::unique_ptr<ProcessPair> process_pair_;  // only if the listener was passed to this process
   SharedUsage unpaired_usage_;                 // used if there is no process_pair_
   const SteadyClock clock_;
-  const TimePoint started_ = TimePoint::clock::now();
+  const TimePoint started_at_ = TimePoint::clock::now();
   core::Balancer balancer_;
   Counters counters_;
   std::shared_ptr<const RequestConfig> request_config_;  // guarded by lock_
@@ -163,7 +166,8 @@
   // Client connections, and those of them that are beyond the budget.
   std::size_t open_connections_ = 0, over_budget_ = 0;
   bool stopped_ = false, accept_loop_ended_ = true;
-  // Number of nodes that the membership agreed on; 0: membership is off, and the settings give the number.
+  // What shared budgets are divided by: 1 / (the share that the membership gives this node), rounded up, at
+  // most 1000000. 0: the membership is off or has not reported a share yet, and the settings give the number.
   // Guarded by settings_lock_.
   int node_count_ = 0;
   std::mutex settings_lock_;            // serializes changes of config_ and of the balancer's settings
@@ -172,13 +176,14 @@
   std::atomic<bool> is_handing_over_{false};
   // The node stops, and closes connections after their answers.
   std::atomic<bool> is_closing_connections_{false};
-  // Set at shutdown: the last answers are due by then, and nothing is accepted after that.
+  // Set at shutdown if its plan has a time limit for answers: the last answers are due by then, and nothing
+  // is accepted after that.
   std::atomic<TimePoint> answer_deadline_{TimePoint::max()};
   // Used by the accepting thread only, like the next two.
   int consecutive_accept_shortages_ = 0;
   // The last accept call succeeded, so the accept queue has not been found empty since.
   bool may_have_more_queued_ = false;
-  core::ArrivalEstimate accept_queue_estimate_{started_};
+  core::ArrivalEstimate accept_queue_estimate_{started_at_};
   // Receive times of the system: their check was requested; the check has passed.
   std::atomic<bool> is_system_time_check_requested_{false}, trusts_system_times_{false};
   std::atomic<std::uint64_t> connections_{0};  // client connections so far; numbers them in the log
--- a/src/net/sibling.cpp
+++ b/src/net/sibling.cpp
@@ -11,7 +11,7 @@
 namespace troutstage::net {
 namespace {
 
-// The shared page: the first slot holds the locked bytes, the next two hold the counts of one process each.
+// The shared page: the process in slot n (0 or 1) locks byte n, and its counts lie at kSlotBytes * (1 + n).
 constexpr std::size_t kPageBytes = 4096, kSlotBytes = 256;
 static_assert(sizeof(Usage) <= kSlotBytes && std::atomic<std::int64_t>::is_always_lock_free);
 
@@ -37,8 +37,8 @@
     throw std::runtime_error("two processes of node '" + node + "' are running already");
   shared_page_ = ::mmap(nullptr, kPageBytes, PROT_READ | PROT_WRITE, MAP_SHARED, lock_file_.get(), 0);
   if (shared_page_ == MAP_FAILED) throw_system_error(path);
-  const auto counts_at = [this](int index) {
-    return static_cast<char*>(shared_page_) + kSlotBytes * (1 + index);
+  const auto counts_at = [this](int slot) {
+    return static_cast<char*>(shared_page_) + kSlotBytes * (1 + slot);
   };
   // Clears the counts that an ended process left in this slot.
   Usage* own_counts = new (counts_at(slot_)) Usage{};
@@ -60,7 +60,7 @@
 
 namespace {
 
-// Describes a write lock on the byte of a slot. Callers set open file description locks, because locks of the
+// Describes a write lock on the byte of a slot. Callers use open file description locks, because locks of the
 // process would be released when any of its threads closes the file.
 struct flock slot_lock(int slot) {
   struct flock byte {};
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -111,8 +111,8 @@
 // Time since the last bytes arrived, read or unread, as TCP_INFO reports it; nothing if it reports none. Some
 // systems report wrong times: see net/system_times.h.
 std::optional<std::chrono::milliseconds> time_since_last_receive(int fd);
-// Number of bytes that have arrived and are unread; nothing if the system does not report the number, or
-// reports fewer bytes than a peek finds.
+// Number of bytes that have arrived and are unread; nothing if the system does not report the number, or if
+// a peek finds more bytes or fails. Numbers from 4096 on are not verified by a peek.
 std::optional<std::size_t> unread_byte_count(int fd);
 // Whether a peek finds the connection open and nothing unread, so that the connection may be used again.
 bool is_reusable(int fd);
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 struct ThreadPool::ThreadStart {
-  ThreadPool& threads;
+  ThreadPool& pool;
   std::function<void()> job;
 };
 
@@ -28,7 +28,7 @@
 bool ThreadPool::run(std::function<void()> job) {
   std::shared_ptr<IdleWorker> worker;
   {
-    std::lock_guard held(lock_);
+    std::lock_guard lock(lock_);
     if (!idle_workers_.empty()) {
       worker = std::move(idle_workers_.back());
       idle_workers_.pop_back();
@@ -49,23 +49,23 @@
   const bool started = ::pthread_create(&thread, &attributes, thread_main, start.get()) == 0;
   ::pthread_attr_destroy(&attributes);
   if (started) return start.release(), true;
-  std::lock_guard held(lock_);
+  std::lock_guard lock(lock_);
   --thread_count_;
   thread_ended_.notify_all();
   return false;
 }
 
 void ThreadPool::finish() {
-  std::unique_lock held(lock_);
+  std::unique_lock lock(lock_);
   is_finishing_ = true;
   for (const auto& worker : idle_workers_) worker->wake_up.notify_one();
-  thread_ended_.wait(held, [this] { return thread_count_ == 0; });
+  thread_ended_.wait(lock, [this] { return thread_count_ == 0; });
   is_finishing_ = false;
 }
 
 void* ThreadPool::thread_main(void* arguments) {
   const std::unique_ptr<ThreadStart> start(static_cast<ThreadStart*>(arguments));
-  start->threads.run_jobs(std::move(start->job));
+  start->pool.run_jobs(std::move(start->job));
   return nullptr;
 }
 
@@ -78,10 +78,10 @@
       log::error("thread: {}", error.what());
     }
     job = nullptr;  // releases what the job captured before the next wait
-    std::unique_lock held(lock_);
+    std::unique_lock lock(lock_);
     if (!is_finishing_) {
       idle_workers_.push_back(worker);
-      worker->wake_up.wait_for(held, kIdleTimeout, [&] { return worker->job != nullptr || is_finishing_; });
+      worker->wake_up.wait_for(lock, kIdleTimeout, [&] { return worker->job != nullptr || is_finishing_; });
     }
     job = std::exchange(worker->job, nullptr);
     if (job) continue;
