--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -13,12 +13,12 @@
 // The kind of a connection: from a client to this node, or from this node to a backend.
 enum class Side { clients, backends };
 
-// What one process uses. Lies in memory that both processes map, where there are two.
+// What one process uses. If there are two processes, lies in memory that both map.
 struct Usage {
   std::atomic<std::int64_t> side[2]{}, bytes{0};
 };
 
-// The usage of this process, and of the other process of the node where there is one. Each process first adds
+// The usage of this process, and of the other process of the node if there is one. Each process first adds
 // to its own count and then reads the other's, so that of two processes that take the last unit at the same
 // moment at most one gets it.
 class SharedUsage {
@@ -27,7 +27,7 @@
   SharedUsage(Usage* mine, const Usage* other) : mine_(mine), other_(other) {}
   // The counts of this process, which its budgets change.
   Usage& mine() { return *mine_; }
-  // The counts of the other process; 0 where it does not run.
+  // The counts of the other process; 0 if it does not run.
   std::int64_t others(Side side) const {
     return is_paired_ ? other_->side[static_cast<int>(side)].load() : 0;
   }
@@ -42,7 +42,8 @@
   std::atomic<bool> is_paired_{false};
 };
 
-// The budget for descriptors of connections. May be used from any thread, and by both processes at once.
+// The budget for descriptors of connections. May be used from any thread. If a node has two processes,
+// each has its own budget, and reads what the other process uses from SharedUsage.
 class ConnectionBudget {
  public:
   enum class TakeResult { granted, side_full, all_full };
@@ -90,7 +91,8 @@
     Reservation& operator=(const Reservation&) = delete;
     // False: the budget has fewer than `n` bytes left, and nothing was taken.
     bool take(std::size_t n) { return take_within(n, bytes_.all_); }
-    // Like take(), for bytes that could be done without: leaves half of the budget for bytes that are needed.
+    // Like take(), for bytes that the request can do without: uses at most half of the budget, and leaves the
+    // other half for bytes that are needed.
     bool take_optional(std::size_t n) { return take_within(n, bytes_.all_ / 2); }
 
    private:
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -13,9 +13,10 @@
 namespace troutstage::net {
 namespace {
 
-// Limits for the whole of a request's head and of its body. For the first request of a connection they count
-// from the moment the connection was accepted: from then on a client waits for the answer to a request that
-// can't be read.
+// Time limits for reading a request's head, and for reading head and body; body bytes that have arrived
+// extend the second limit. Both count from the moment that a thread begins to read the request, and for the
+// first request of a connection from the moment that the connection was accepted: from then on a client waits
+// for the answer to a request that can't be read.
 constexpr std::chrono::milliseconds kMaxHeadTime{2500}, kMaxBodyTime{2700};
 // Time limit for each piece of a body.
 constexpr std::chrono::milliseconds kBodyPieceTimeout{2000};
@@ -84,8 +85,8 @@
   // The client waits for its answer until then.
   TimePoint client_deadline;
   core::InvocationHandle handle;
-  // The client's socket, open until the answer is final. -1: a disconnect of the client can't be told from a
-  // shutdown of the reading side by this node.
+  // The client's socket, open until the answer is final. -1: a disconnect of the client can't be
+  // distinguished from a shutdown of the reading side by this node.
   int client_socket = -1;
   // Indexed by the number of the hand-off. Changed by the thread that serves the client; while that thread
   // runs a hand-off itself, by the thread that holds the balancer's lock.
@@ -117,8 +118,8 @@
 }
 
 // A client that was rejected and sends its next request at once is served by the same thread: a return
-// through IdleConnections costs more than a rejection, and thousands of such requests a second used up all
-// that a node could do.
+// through IdleConnections costs more than a rejection, and thousands of such requests a second used up the
+// whole capacity of a node.
 std::optional<IdleConnections::WaitsFor> ClientConnection::serve() {
   for (;;) {
     was_rejected_ = false;
@@ -133,7 +134,8 @@
   }
 }
 
-// Reads and answers one request. Returns what the connection waits for then, or nothing where it is over.
+// Reads and answers one request. Returns what the connection waits for then, or nothing if the connection is
+// over.
 std::optional<IdleConnections::WaitsFor> ClientConnection::serve_request() {
   const auto context = std::make_shared<InvocationContext>(node_);
   BadRequest refusal;
@@ -146,8 +148,8 @@
     context->request = std::move(*request);
     Request& r = context->request;
     if (!is_node_path(r) && !resolve_workload(*context, refusal)) return refuse(refusal);
-    // Reading stops where the body arrives more slowly than kMinBytesPerMs, the rate that clients have to
-    // keep.
+    // Clients have to send a body at kMinBytesPerMs or faster. Reading stops when a piece takes too long, or
+    // when the body as a whole, after kMaxBodyTime, arrives at less than half of that rate.
     const auto deadline = [&] {
       const auto earned_time =
           std::chrono::milliseconds(static_cast<std::int64_t>(r.body.size()) * 2 / kMinBytesPerMs);
@@ -184,17 +186,17 @@
   return IdleConnections::WaitsFor::peer_close;
 }
 
-// Where this node shut down the reading side, to free capacity or because it shuts down, the request looks
-// cut short by its client. That client still waits for an answer, and nothing was handed off: it gets a 503
-// instead of none.
+// If this node shut down the reading side, to free capacity or because the node shuts down, the request looks
+// as if its client had cut it short. But the client still waits for an answer, and nothing was handed off:
+// the client gets a 503.
 BadRequest ClientConnection::attribute_cut(const Node::ActiveRead& active_read, const BadRequest& refusal) {
   return refusal.cause == RequestError::cut && active_read.was_aborted()
              ? BadRequest{503, RequestError::reading_ended}
              : refusal;
 }
 
-// Counts, logs and answers a request that is not served, and closes the sending side. Returns nothing where
-// the client gets no answer.
+// Counts, logs and answers a request that is not served, and closes the sending side. Returns nothing if the
+// client gets no answer.
 std::optional<IdleConnections::WaitsFor> ClientConnection::refuse(const BadRequest& refusal) {
   if (refusal.cause == RequestError::none) return std::nullopt;  // the client closed between requests
   if (refusal.cause == RequestError::no_room) ++node_.counters_.turned_off_full;
@@ -203,7 +205,7 @@
   log::event("bad_request", {{"connection", id_}, {"why", why}}, log::Level::debug);
   if (refusal.status == 0) return std::nullopt;
   close_reason_ = CloseReason::bad_request;
-  // After a malformed request the begin of the next one can't be found; after another refused request, the
+  // After a malformed request the start of the next one can't be found; after another refused request, the
   // next one would be refused in the same way. So the connection closes.
   reply(refusal.status, fmt::format("{}\n", why), false);
   ::shutdown(fd_.get(), SHUT_WR);
@@ -227,7 +229,7 @@
 }
 
 // Looks up the workload and checks that the request has what the workload's semantics need: GET for
-// idempotent workloads, POST for all others, a time limit, and an idempotency key where the semantics ask for
+// idempotent workloads, POST for all others, a time limit, and an idempotency key if the semantics require
 // one. False: `refusal` says what is wrong.
 bool ClientConnection::resolve_workload(InvocationContext& context, BadRequest& refusal) {
   const Request& request = context.request;
@@ -328,14 +330,15 @@
   if (n < context.exchanges.size() && context.exchanges[n]) context.exchanges[n]->cancel();
 }
 
-// Logs the end of a request. The transaction id links it to the connection, the hand-offs and the answer.
-void ClientConnection::trace_answer(const InvocationContext& context, std::string_view how,
+// Logs the end of a request. The transaction id links this event to those of the connection, the hand-offs
+// and the answer.
+void ClientConnection::trace_answer(const InvocationContext& context, std::string_view outcome,
                                     TenthsOfMs arrived) const {
   if (!log::wanted(log::Level::debug)) return;
   log::event("answered",
              {{"transaction", std::string_view(context.request.transaction)},
               {"connection", id_},
-              {"how", how},
+              {"how", outcome},
               {"hand_offs", std::uint64_t{context.exchanges.size()}},
               {"held_ms", std::int64_t{(node_.clock_.now() - arrived) / kTenthsPerMs}},
               {"told_ms", context.request.remaining_ms},
@@ -437,19 +440,20 @@
        {"by", context.is_by_system_time ? std::string_view("system") : std::string_view("looks")}});
 }
 
-// Logs the begin and the end of a forwarded answer.
+// Logs the start or the end of a forwarded answer. `detail`: at the start the framing of the answer, at the
+// end how the forwarding ended.
 void ClientConnection::trace_forwarding(const InvocationContext& context, std::string_view stage,
-                                        std::string_view how, std::size_t forwarded_bytes) {
+                                        std::string_view detail, std::size_t forwarded_bytes) {
   log::event("answer_flows",
              {{"transaction", std::string_view(context.request.transaction)},
               {"stage", stage},
-              {"how", how},
+              {"how", detail},
               {"bytes", std::uint64_t{forwarded_bytes}}},
              log::Level::debug);
 }
 
-// Logs an answer that was cut short after its begin had been forwarded to the client. Times are milliseconds
-// since the arrival of the request's last byte.
+// Logs an answer that was cut short after its first part had been forwarded to the client. Times are
+// milliseconds since the arrival of the request's last byte.
 void ClientConnection::note_cut_answer(const InvocationContext& context, std::string_view why,
                                        TimePoint started_at, TimePoint last_piece_at,
                                        std::size_t forwarded_bytes) {
@@ -514,7 +518,7 @@
 
 // Forwards an answer as it arrives, because the answer is too long to be buffered or arrives slowly. What the
 // backend still sends is never cut. If the answer breaks, the client can see that it is incomplete, even
-// where this process is killed.
+// if this process is killed.
 bool ClientConnection::forward_answer(const InvocationContext& context, Exchange& exchange, bool keep_open) {
   const Response& r = exchange.answer();
   const bool has_length = exchange.remaining_body().framing() == Framing::length;
@@ -548,14 +552,14 @@
   }
   bool is_complete = is_client_reading && read_result == ReadResult::whole;
   if (is_complete && is_chunked) is_complete = is_client_reading = write("", "0\r\n\r\n");
-  const std::string_view how =
+  const std::string_view outcome =
       is_client_reading ? kReadResultNames[static_cast<std::size_t>(read_result)] : "client_gone";
-  trace_forwarding(context, "ends", how, forwarded_bytes);
+  trace_forwarding(context, "ends", outcome, forwarded_bytes);
   exchange.release_connection();
   ++(is_complete ? context.workload_entry.answers->succeeded : context.workload_entry.answers->given_up);
   if (is_complete && ends_at_close) set_reset_on_close(false);
   if (is_complete) return keep_open;
-  note_cut_answer(context, how, started_at, last_piece_at, forwarded_bytes);
+  note_cut_answer(context, outcome, started_at, last_piece_at, forwarded_bytes);
   ++node_.counters_.answers_cut;
   close_reason_ = CloseReason::answer_cut;
   is_reset_on_close_ = ends_at_close;
@@ -624,10 +628,10 @@
              log::Level::debug);
 }
 
-// Whether the client still waits for an answer. Checked right before the first byte of a hand-off is sent:
-// where hand-offs can't be cancelled, a hand-off whose connection was slow to be established was sent long
-// after its client had gone or had its answer. The disconnect monitor has a thread of its own, which may not
-// have run yet.
+// Whether the client still waits for an answer. Checked right before the first byte of a hand-off is sent: if
+// hand-offs can't be cancelled, a hand-off whose connection is slow to be established would otherwise be sent
+// long after its client has gone or has its answer. The disconnect monitor has a thread of its own, which may
+// not have run yet.
 bool ClientConnection::is_still_wanted(Node& node, const InvocationContext& context) {
   if (node.balancer_.is_answered(context.handle)) return false;
   if (context.client_socket < 0 || !peer_has_closed(context.client_socket)) return true;
@@ -635,8 +639,8 @@
   return false;
 }
 
-// Returns the function that runs the hand-off and reports how it ended, or nothing where the hand-off can't
-// be started.
+// Returns the function that runs the hand-off and reports how it ended, or nothing if the hand-off can't be
+// started.
 std::function<void()> ClientConnection::prepare_hand_off(Node& node,
                                                          const std::shared_ptr<InvocationContext>& context,
                                                          const core::Instruction& instruction) {
@@ -693,7 +697,7 @@
 }
 
 // A client that reads its answer slowly sends its next request after the end of the answer, not after its
-// begin. So the socket is checked again after a long write.
+// start. So the socket is checked again after a long write.
 void ClientConnection::note_empty_after_write(TimePoint write_started_at) {
   const TimePoint now = TimePoint::clock::now();
   if (now - write_started_at <= core::ArrivalEstimate::kCheckInterval) return;
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -11,31 +11,34 @@
 
 namespace troutstage::net {
 
-// Used by one thread at a time: by the thread that serves a request, or by the thread of IdleConnections.
-// Only cancel() and is_still_wanted() of its invocations run on other threads.
+// Used by one thread at a time: by the thread that serves a request or, while no thread serves the
+// connection, by IdleConnections under its lock. The static functions for hand-offs also run on other
+// threads; they use only the node and the InvocationContext.
+// If hand-offs can't be cancelled, next_body_piece() runs on the thread of the hand-off.
 class ClientConnection {
  public:
   ClientConnection(Node& node, Fd fd, bool is_within_budget, const core::ArrivalEstimate& arrival);
   ~ClientConnection();
   int fd() const { return fd_.get(); }
-  // Estimates when the next request arrives. IdleConnections reports its checks of the socket here while no
+  // Estimates when the next request arrived. IdleConnections reports its checks of the socket here while no
   // thread serves the connection.
   core::ArrivalEstimate& arrival() { return arrival_; }
-  // Reads and answers the request that has arrived, and further ones where the client sends them right after
-  // a rejection. Blocks until the answer is written. Returns what the connection waits for then, or nothing
-  // where the connection is over and only has to be destroyed.
+  // Reads and answers the request that has arrived, and further requests that the client sends right after a
+  // rejection. Blocks until the answer is written. Returns what the connection waits for then, or nothing if
+  // the connection is over and only has to be destroyed.
   std::optional<IdleConnections::WaitsFor> serve();
-  // Answers 503 without reading the request, where no thread is available to serve it. Does not block.
+  // Answers 503 without reading the request, for a request that no thread is available to serve. Does not
+  // block.
   void reject_unread();
   // Discards a part of what the client sent after its last answer. False: the client closed, or sent too
   // much; the connection is over.
   bool discard_unread();
   // The reason that is counted and logged if the connection is destroyed before it serves another request.
-  void set_close_reason(CloseReason why) { close_reason_ = why; }
+  void set_close_reason(CloseReason reason) { close_reason_ = reason; }
 
  private:
-  // State of one invocation that all its hand-offs share. It outlives the connection's use of it where a
-  // hand-off is still running.
+  // State of one invocation that all its hand-offs share. Lives until the last hand-off has ended, which may
+  // be after the connection was destroyed.
   struct InvocationContext;
 
   std::optional<IdleConnections::WaitsFor> serve_request();
@@ -66,12 +69,12 @@
   void note_late_reading(const InvocationContext& context);
   static void note_cut_answer(const InvocationContext& context, std::string_view why, TimePoint started_at,
                               TimePoint last_piece_at, std::size_t forwarded_bytes);
-  static void trace_forwarding(const InvocationContext& context, std::string_view stage, std::string_view how,
-                               std::size_t forwarded_bytes);
+  static void trace_forwarding(const InvocationContext& context, std::string_view stage,
+                               std::string_view detail, std::size_t forwarded_bytes);
   bool invoke(const std::shared_ptr<InvocationContext>& context, TenthsOfMs arrived);
   bool send_final_answer(const InvocationContext& context, const core::Instruction& instruction,
                          bool keep_open);
-  void trace_answer(const InvocationContext& context, std::string_view how, TenthsOfMs arrived) const;
+  void trace_answer(const InvocationContext& context, std::string_view outcome, TenthsOfMs arrived) const;
   static void cancel(const InvocationContext& context, int number);
   static void finish_hand_off(Node& node, const InvocationContext& context, int number,
                               ExchangeResult result);
--- a/src/net/closing.h
+++ b/src/net/closing.h
@@ -7,15 +7,15 @@
 namespace troutstage::net {
 
 enum class CloseReason {
-  // the client closed or reset it, between requests or before its answer
+  // the client closed or reset the connection, between requests or before its answer
   by_client,
-  // nothing arrived on it for as long as it may be idle
+  // nothing arrived for as long as the connection may be idle
   idle,
   // closed to free capacity for other connections
   room,
   // this node shuts down or drains
   stopping,
-  // its last answer announced the close
+  // the last answer announced the close
   last_answer,
   // a request was refused, and the next one can't be found or would be refused too
   bad_request,
--- a/src/net/counters.h
+++ b/src/net/counters.h
@@ -41,7 +41,7 @@
   std::map<std::string, WorkloadAnswers> by_workload;
   // Hand-offs whose last byte was written, and invocations that have not ended.
   std::uint64_t written = 0, open = 0;
-  // Numbers of backends: in the list, and of these the backends that get no hand-offs at present.
+  // Numbers of backends: in the list, and of these the backends that are stopping or are outliers now.
   std::size_t listed = 0, avoided = 0;
   std::uint64_t reloads = 0, reloads_failed = 0;
 };
@@ -53,13 +53,18 @@
   // `open`: accepted, and the answer is not yet completely written.
   Count taken{0}, open{0};
   Count succeeded{0}, rejected{0}, given_up{0}, client_gone{0}, broke_inside{0};
-  // `handed_off`: given to a thread. `written`: the last byte was written to a backend. Every hand-off ends
-  // with one ExchangeResult, or is still in flight.
+  // `handed_off`: hand-offs that the balancer decided on, including those that can't be started. `written`:
+  // the last byte was written to a backend. Every hand-off ends with one ExchangeResult, or is still in
+  // flight.
   Count handed_off{0}, written{0};
   std::array<Count, kExchangeResultNames.size()> ended{};
+  // Client connections: accepted, and accept calls that failed. Connections opened to backends. Requests
+  // rejected because this node has no capacity for them, or because it shuts down. Answers that could not be
+  // written to the client, and forwarded answers that were cut short. Request bodies that were streamed to a
+  // backend, and answers that were forwarded while they arrived.
   Count connections_taken{0}, accepts_failed{0}, connections_opened{0}, turned_off_full{0},
       turned_off_stopping{0}, answers_unread{0}, answers_cut{0}, bodies_flowed{0}, answers_flowed{0};
-  // Refused requests, by RequestError.
+  // Refused requests, by RequestError; without no_room, which turned_off_full counts.
   std::array<Count, kRequestErrorNames.size()> bad{};
   // Clients' connections that were closed, by CloseReason.
   std::array<Count, kCloseReasonNames.size()> closed{};
@@ -76,7 +81,8 @@
   Count system_times_checks{0};
   // Requests for which the time reported by the system contradicts the checks of the socket.
   Count system_times_contradicted{0};
-  // Clients that disconnected without an answer within 0.1 s of their time limit, or later.
+  // Clients that disconnected without an answer, no earlier than 0.1 s before their time limit. Requests with
+  // a streamed body are not counted.
   Count left_at_limit{0};
   // Discovery polls: started; ended by anything but an answer; and of these, without any response.
   Count watches{0}, watches_failed{0}, watches_silent{0};
--- a/src/net/lobby.h
+++ b/src/net/lobby.h
@@ -20,7 +20,7 @@
 class ClientConnection;
 
 // All public functions may be called from any thread, run() from one thread only. The constructor throws
-// std::system_error where no descriptor is available.
+// std::system_error if no descriptor is available.
 class IdleConnections {
  public:
   // What a connection waits for.
@@ -34,7 +34,8 @@
     // the client's close after its last answer; what still comes is discarded until then
     peer_close
   };
-  // Gives a connection to a thread that serves its request. False: no thread is available.
+  // Gives a connection to a thread that serves its request. False: no thread is available. Must neither block
+  // nor call IdleConnections.
   using StartServing = std::function<bool(std::shared_ptr<ClientConnection>)>;
   // The largest number of connections that may wait, by WaitsFor.
   using MaxWaiting = std::array<std::size_t, 4>;
@@ -42,12 +43,13 @@
   // the thread of run().
   using OnStall = std::function<void(std::chrono::milliseconds)>;
   // `start_serving` is called with lock_ held for each connection on which a request arrived: on the thread
-  // of run(), or in a call below that adds or closes connections. Where no thread is available, also after
-  // some retries, the request is rejected here. `max_waiting` has a limit for each value of WaitsFor; beyond
-  // the limit the connection that has waited for the same thing the longest is closed.
+  // of run(), or in a call below that adds or closes connections. If no thread is available, the call is
+  // retried for a while; then the request is rejected here. `max_waiting` has a limit for each value of
+  // WaitsFor; beyond the limit the connection that has waited for the same thing the longest is closed.
   IdleConnections(StartServing start_serving, const MaxWaiting& max_waiting, OnStall on_stall = {});
 
-  // Blocks and monitors the connections until stop().
+  // Blocks and monitors the connections until stop(). Returns earlier, and logs the error, if epoll_wait
+  // fails for another reason than an interruption or a shortage.
   void run();
   void stop();
   // Takes over a connection that no thread serves.
@@ -62,10 +64,10 @@
   void close_idle(bool all);
 
  private:
-  // `deadline`: the connection is closed then, if nothing arrives.
   struct WaitingConnection {
     std::shared_ptr<ClientConnection> client;
     WaitsFor waits_for;
+    // The start of the wait, and the time at which the connection is closed if nothing has arrived.
     TimePoint since, deadline;
     // A request has arrived, but no thread has been available for it since then.
     std::optional<TimePoint> no_thread_since;
@@ -76,10 +78,16 @@
   // By id, so the oldest connection is first.
   using ConnectionMap = std::map<std::uint64_t, WaitingConnection>;
   // Checks the socket once more, then removes the connection: serves it if a request has arrived, else closes
-  // it for `reason`. If the check fails, the connection stays, unless bytes are known to have arrived
-  // (`reason` is by_client).
+  // it for `reason`. A connection that waits for the client's close is not checked. `reason` by_client: an
+  // earlier check found bytes or the client's close. The connection stays
+  // - if the check fails, unless `reason` is by_client; the connection is then served all the same
+  // - if `reason` is by_client and the check finds nothing after all
+  // - if no thread is available to serve it: retry_serving() tries again, for up to kThreadWaitLimit; then
+  // the
+  //   request is rejected.
   void serve_or_close(ConnectionMap::iterator entry, CloseReason reason);
-  // The functions below that take an iterator, and add_locked(), are called with lock_ held.
+  // The functions below that take an iterator or a WaitingConnection, and add_locked(), are called with lock_
+  // held.
   void add_locked(std::shared_ptr<ClientConnection> client, WaitsFor waits_for);
   void report_stall(TimePoint::duration duration) const;
   void note_poll(TimePoint now);
--- a/src/net/protocol.h
+++ b/src/net/protocol.h
@@ -10,18 +10,23 @@
 inline constexpr std::string_view kTenantHeader = "X-Org";
 inline constexpr std::string_view kRemainingMsHeader = "X-Remaining-Ms";
 inline constexpr std::string_view kIdempotencyKeyHeader = "Idempotency-Key";
+// "1": the client sends the request again.
 inline constexpr std::string_view kResentHeader = "X-Resent";
 inline constexpr std::string_view kHostHeader = "Host";
-inline constexpr std::string_view kEstimateHeader = "X-Estimate";  // expected work, in microseconds
+// Expected processing time, in microseconds.
+inline constexpr std::string_view kEstimateHeader = "X-Estimate";
+// "1" in a response: the backend did not process the request.
 inline constexpr std::string_view kTurnedAwayHeader = "X-Turned-Away";
-inline constexpr std::string_view kPressureHeader = "X-Pressure";  // not read; may have any value
+// Not read; may have any value.
+inline constexpr std::string_view kPressureHeader = "X-Pressure";
 inline constexpr std::string_view kReadyPath = "/up";
 inline constexpr std::string_view kCountersPath = "/counters";
 
-// Body of an answer that is buffered until it is complete; a longer answer may be forwarded while it arrives.
+// Largest body of an answer that is buffered until it is complete; a longer answer may be forwarded while it
+// arrives.
 inline constexpr std::size_t kMaxShortAnswerBytes = 64 * 1024;
-// Body of a request that is buffered, so that it can be handed off again; the rest of a longer body is
-// streamed.
+// Largest body of a request that is buffered whole, so that it can be handed off again; the rest of a longer
+// body is streamed.
 inline constexpr std::size_t kMaxBufferedRequestBytes = 256 * 1024;
 // Largest body of any message.
 inline constexpr std::size_t kMaxBodyBytes = 32 * 1024 * 1024;
@@ -29,7 +34,7 @@
 inline constexpr std::int64_t kMinBytesPerMs = 64;
 // Largest head of a message, including its start line.
 inline constexpr std::size_t kMaxHeadBytes = 16 * 1024;
-// 1xx responses before an answer.
+// Largest number of 1xx responses before an answer.
 inline constexpr int kMaxInterimHeads = 8;
 
 }  // namespace troutstage::net
--- a/src/net/system_times.h
+++ b/src/net/system_times.h
@@ -13,7 +13,7 @@
 // to 10 ms long.
 inline constexpr std::chrono::milliseconds kSystemTimesTolerance{15};
 
-// Checks the times on a connection over loopback. Blocks for about 0.1 s, for 1 s at most. Also false where
+// Checks the times on a connection over loopback. Blocks for about 0.1 s, for 1 s at most. Also false if
 // that connection can't be made. Throws nothing.
 bool system_times_are_true();
 
--- a/src/net/vigil.h
+++ b/src/net/vigil.h
@@ -10,12 +10,12 @@
 
 namespace troutstage::net {
 
-// One epoll thread for all clients. Throws std::system_error from its constructor where no descriptor is
-// available.
+// One epoll thread for all clients. The constructor throws std::system_error if no descriptor is available.
 class DisconnectMonitor {
  public:
   explicit DisconnectMonitor(core::Balancer& balancer);
-  // Blocks until stop(). Reports each disconnect to the balancer on the calling thread.
+  // Blocks until stop(). Reports each disconnect to the balancer on the calling thread. Returns earlier, and
+  // logs the error, if epoll_wait fails for another reason than an interruption or a shortage.
   void run();
   void stop();
 
