--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -25,7 +25,7 @@
     // Checked before any change: a list that can't be read leaves the present state unchanged.
     const nlohmann::json& servers = json.at("servers");
     if (!servers.is_array()) throw Malformed("list: servers is not an array");
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     // A backend that was listed again after its release keeps its index: its entry was reported under that
     // index.
     for (const Index index : released)
@@ -87,13 +87,13 @@
 }
 
 bool BackendDirectory::is_still_running(Index backend, std::uint64_t instance_id) {
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   return indices_.is_in_use(backend) && records_[backend].target.instance_id == instance_id &&
          records_[backend].last_entry.availability == Availability::running;
 }
 
 std::optional<Target> BackendDirectory::find(Index backend) {
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   if (!indices_.is_in_use(backend)) return std::nullopt;
   return records_[backend].target;
 }
--- a/src/net/ending.h
+++ b/src/net/ending.h
@@ -11,7 +11,8 @@
 
 // How the exchange of one hand-off ended. The names are those of the counters and the log.
 enum class ExchangeResult {
-  answered,          // status 200 and the whole body
+  answered,          // status 200 and the whole body, or as much of a long body as is buffered before it
+                     // is forwarded
   answered_error,    // a complete answer with any other status
   turned_away,       // the backend states that it did not process the request (X-Turned-Away: 1)
   no_room,           // this node had no descriptor, port or thread for it
@@ -24,8 +25,8 @@
   answer_stalled,    // the answer began, then paused for too long on an open connection
   timed_out,         // no complete answer before the deadline
   source_broke,      // the rest of a streamed request body could not be read from the client
-  recalled_unsent,   // canceled by this node before the last byte of the request was written
-  recalled,          // canceled by this node after the last byte was written
+  recalled_unsent,   // cancelled by this node before the last byte of the request was written
+  recalled,          // cancelled by this node after the last byte was written
   withdrawn,         // not sent in time: the send conditions no longer hold (the backend is leaving, or the
                      // deduplication window of an earlier attempt has passed), or the client's time is over
 };
@@ -35,9 +36,8 @@
     "cut_before_sent", "cut_after_sent", "answer_cut",      "answer_malformed", "answer_stalled",
     "timed_out",       "source_broke",   "recalled_unsent", "recalled",         "withdrawn"};
 
-// The Ending that the balancer is given for a result. Reported as not executed are only results that prove
-// it: the last byte of the request was not written, or the backend itself states that it did not process the
-// request.
+// The Ending that the balancer is given for a result. A request is reported as not executed only if this is
+// proven: its last byte was not written, or the backend itself states that it did not process the request.
 inline Ending classify_result(ExchangeResult result) {
   switch (result) {
     case ExchangeResult::answered: return Ending::succeeded;
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -24,7 +24,7 @@
   const ExchangeResult result = run_on_connection(request, target, deadline, streamed, conditions);
   if (result != ExchangeResult::answered || remaining_body_.whole()) release_connection();
   if (!interrupter_.is_interrupted() || result == ExchangeResult::answered) return result;
-  // A canceled exchange looks like a broken connection. Whether the last byte was written is known in any
+  // A cancelled exchange looks like a broken connection. Whether the last byte was written is known in any
   // case.
   const bool is_unsent = result == ExchangeResult::not_connected ||
                          result == ExchangeResult::cut_before_sent ||
@@ -154,8 +154,8 @@
 ReadResult Exchange::read_long_answer(TimePoint deadline, const SendConditions& conditions) {
   // With the stall limit of a quarter of a second, long answers of slow backends were lost.
   reader_->disable_stall_limit();
-  const TimePoint begun_at = TimePoint::clock::now();
-  core::AnswerBuffering buffering(begun_at, deadline, answer_.body.size());
+  const TimePoint started_at = TimePoint::clock::now();
+  core::AnswerBuffering buffering(started_at, deadline, answer_.body.size());
   std::size_t buffer_limit = kMaxShortAnswerBytes;
   TimePoint last_progress_at;
   while (!remaining_body_.whole()) {
--- a/src/net/exchange.h
+++ b/src/net/exchange.h
@@ -26,7 +26,7 @@
   std::function<ReadResult(std::string& piece)> next;  // reads the next piece from the client
   const Body* remaining_body = nullptr;
   std::int64_t remaining_ms = 0;    // how long the client waits for the answer after its last byte
-  bool is_partly_consumed = false;  // a piece was read from the client, so the request can't be sent again
+  bool is_partly_consumed = false;  // reading from the client began, so the request can't be sent again
   TimePoint last_byte_at;           // arrival of the client's last byte; set once the whole body was read
   // Valid once last_byte_at is set.
   TimePoint answer_deadline() const { return last_byte_at + std::chrono::milliseconds(remaining_ms); }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -138,9 +138,9 @@
   std::string_view start_line = bytes.substr(0, line_end);
   if (!is_text(start_line)) return std::nullopt;
   for (int i = 0; i < 3; ++i) {
-    const std::size_t blank_at = i < 2 ? start_line.find(' ') : std::string_view::npos;
-    head.first[i] = start_line.substr(0, blank_at);
-    start_line.remove_prefix(blank_at == std::string_view::npos ? start_line.size() : blank_at + 1);
+    const std::size_t space_at = i < 2 ? start_line.find(' ') : std::string_view::npos;
+    head.first[i] = start_line.substr(0, space_at);
+    start_line.remove_prefix(space_at == std::string_view::npos ? start_line.size() : space_at + 1);
   }
   for (std::size_t line_start = line_end + 2;;) {
     line_end = bytes.find(kLineEnd, line_start);
@@ -153,7 +153,7 @@
       continue;
     }
     const std::size_t colon_at = line.find(':');
-    // Folded lines, blanks before the colon and bare line ends are interpreted differently by different
+    // Folded lines, spaces before the colon and bare line ends are interpreted differently by different
     // programs, which allows request smuggling.
     const std::string_view name = line.substr(0, colon_at);
     // An unreadable load report must not invalidate the response that contains it.
@@ -166,7 +166,8 @@
   }
 }
 
-// Garbage often has no end: when only complete heads were checked, it was detected at the deadline only.
+// Garbage often contains no blank line: when only complete heads were checked, garbage was detected only at
+// the deadline.
 bool is_head_prefix(std::string_view bytes, std::size_t checked_size, MessageKind kind) {
   constexpr std::string_view kResponse = "HTTP/1.";
   constexpr std::size_t kMaxMethodSize = 16;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -25,7 +25,7 @@
 // The head of a message, as views of the bytes that it was read from. Header names are compared without
 // regard to case.
 struct Head {
-  std::string_view first[3];  // the start line, split at its first two blanks
+  std::string_view first[3];  // the start line, split at its first two spaces
   std::vector<Header> headers;
 
   // How many headers have this name.
@@ -42,7 +42,7 @@
 std::optional<Head> parse_head(std::string_view bytes, MessageKind kind = MessageKind::request);
 // 1 to 15 decimal digits; empty: anything else.
 std::optional<std::int64_t> parse_digits(std::string_view text);
-std::string_view trimmed(std::string_view text);  // without blanks and tabs at both ends
+std::string_view trimmed(std::string_view text);  // without spaces and tabs at both ends
 
 // How reading a message, or a part of one, ended.
 enum class ReadResult {
@@ -110,8 +110,8 @@
   // Unread bytes of the body (Framing::length) or of the current chunk.
   std::size_t left() const { return remaining_; }
   bool whole() const { return is_whole_; }
-  // Appends the next piece to `into`; appends nothing at the end of the body. May be called again after
-  // `late`.
+  // Appends the next piece to `into`; appends nothing at the end of the body. Returns `whole` for each piece;
+  // whole() states whether the body is complete. May be called again after `late`.
   ReadResult next(Reader& reader, TimePoint deadline, std::string& into);
 
  private:
@@ -174,12 +174,13 @@
 // another way is refused.
 std::optional<Request> read_request_head(Reader& reader, TimePoint deadline, BadRequest& bad);
 // Reads the body of the request into `request.body` until it is whole, kMaxBufferedRequestBytes are buffered,
-// or `take_capacity` grants no more bytes; the rest has to be streamed then. `deadline` is asked before each
+// or `take_capacity` grants no more bytes; the rest has to be streamed then. `deadline` is called before each
 // read. False: `bad` states why the body can't be read.
 bool read_body(Reader& reader, Request& request, BadRequest& bad, const std::function<TimePoint()>& deadline,
                const std::function<bool(std::size_t)>& take_capacity);
 // The head of the request for the backend. The body has to follow: request.body, and the pieces of a streamed
 // body, in chunks as framed by frame_body_piece() if the request has them.
+// `remaining_ms` is written into the head.
 std::string format_request_head(const Request& request, std::int64_t remaining_ms);
 // A piece of a body, as a chunk if `remaining_body` is chunked, with the last chunk if that body was read
 // whole.
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -27,6 +27,7 @@
 
 constexpr int kReceiveBatch = 128;  // datagrams that are read before the time is checked
 constexpr std::chrono::milliseconds kBindRetryInterval{50};
+// The time of the engine is the steady clock plus this offset.
 constexpr TenthsOfMs kDay = 24 * 3600 * TenthsOfMs{10000};
 
 std::uint64_t key_of(const sockaddr_in& address) {
@@ -34,9 +35,9 @@
 }
 
 std::string join(const std::vector<Index>& nodes) {
-  std::string all;
-  for (Index node : nodes) all += (all.empty() ? "" : ",") + std::to_string(node);
-  return all;
+  std::string joined;
+  for (Index node : nodes) joined += (joined.empty() ? "" : ",") + std::to_string(node);
+  return joined;
 }
 
 }  // namespace
@@ -61,16 +62,16 @@
   const sockaddr_in own_address = parse_address(options_.listen);
   setup_.node = kNone;
   if (options_.membership.self_by_name) {
-    const std::size_t digits = options_.name.find_last_not_of("0123456789") + 1;
-    const std::string number = options_.name.substr(digits);
+    const std::size_t digits_at = options_.name.find_last_not_of("0123456789") + 1;
+    const std::string number = options_.name.substr(digits_at);
     if (number.empty() || number.size() > 6)
       throw Malformed("membership.self is \"name\", but the name '" + options_.name +
                       "' ends with no number");
     setup_.node = static_cast<Index>(parse_integer(number, "membership.self"));
   } else if (options_.membership.self >= 0) setup_.node = static_cast<Index>(options_.membership.self);
-  else if (const auto own_place = node_of_address_.find(key_of(own_address));
-           own_place != node_of_address_.end())
-    setup_.node = own_place->second;
+  else if (const auto own_entry = node_of_address_.find(key_of(own_address));
+           own_entry != node_of_address_.end())
+    setup_.node = own_entry->second;
   if (setup_.node >= addresses_.size())
     throw Malformed(
         "peers do not contain this node; set membership.self to its index in peers, counted from 0");
@@ -85,8 +86,9 @@
   setup_.seed = (std::uint64_t{random_device()} << 32) + random_device();
   setup_.timing = options_.membership.timing;
   setup_.sharing = options_.membership.sharing;
-  // A tenth longer than the lease, since clocks run at different speeds; and what was sent within that time
-  // counts for the length of the slow-start window.
+  // Capacity that a change of the view frees is used only after this time: the old leases have to expire (a
+  // tenth is added, since clocks run at different speeds), and sends made under them count for the length of
+  // the slow-start window.
   setup_.sharing.hold = setup_.sharing.lease * 11 / 10 + options_.slow_start_window;
   setup_.life = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                std::chrono::system_clock::now().time_since_epoch())
@@ -109,13 +111,13 @@
 MembershipTransport::Addresses MembershipTransport::parse_peers(const std::vector<std::string>& peers) const {
   if (peers.empty()) throw Malformed("peers is empty");
   if (peers.size() > kMostNodes) throw Malformed(fmt::format("peers has more than {} entries", kMostNodes));
-  Addresses all;
+  Addresses addresses;
   std::set<std::uint64_t> seen;
   for (const std::string& peer : peers) {
-    all.push_back(parse_address(peer));
-    if (!seen.insert(key_of(all.back())).second) throw Malformed("peers contains " + peer + " twice");
+    addresses.push_back(parse_address(peer));
+    if (!seen.insert(key_of(addresses.back())).second) throw Malformed("peers contains " + peer + " twice");
   }
-  return all;
+  return addresses;
 }
 
 void MembershipTransport::set_addresses(Addresses addresses) {
@@ -130,7 +132,7 @@
 
 void MembershipTransport::move(const std::vector<std::string>& peers) {
   Addresses new_addresses = parse_peers(peers);
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   set_addresses(std::move(new_addresses));
   run_engine(NewRoster{static_cast<std::uint32_t>(addresses_.size())});
 }
@@ -148,7 +150,7 @@
     if (in && options_.is_successor && snapshot << in.rdbuf()) setup_.resumed = snapshot.str();
     ::unlink(options_.snapshot_path.c_str());
   }
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   engine_ = std::make_unique<Engine>(setup_, now());
   socket_ = std::move(fd);
   return true;
@@ -161,7 +163,7 @@
     if (is_handing_over_) return write_snapshot_and_close();
     int fd = -1;
     {
-      std::lock_guard guard(lock_);
+      std::lock_guard lock(lock_);
       fd = socket_.get();
     }
     if (fd < 0) {
@@ -172,7 +174,7 @@
     const TimePoint now_at = TimePoint::clock::now();
     if (now_at >= next_heartbeat) {
       next_heartbeat = std::max(next_heartbeat + heartbeat_interval, now_at + heartbeat_interval / 2);
-      std::lock_guard guard(lock_);
+      std::lock_guard lock(lock_);
       if (engine_) run_engine(Pulse{});
     } else {
       const auto wait_ms =
@@ -190,7 +192,7 @@
 void MembershipTransport::receive() {
   char bytes[kMostDatagram + 1];
   for (int n = 0; n < kReceiveBatch; ++n) {
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     if (!socket_) return;
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -254,7 +256,7 @@
 void MembershipTransport::report_share() {
   int nodes = 0;
   {
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     // Without an engine, the reserved part of this node only.
     const double part =
         engine_ ? engine_->part(now())
@@ -267,17 +269,17 @@
 }
 
 void MembershipTransport::leave() {
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   run_engine(Leave{});
 }
 
 bool MembershipTransport::has_left() const {
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   return !engine_ || engine_->status(now()).has_left;
 }
 
 void MembershipTransport::write_snapshot_and_close() {
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   if (!engine_) return;
   const std::string partial_path = options_.snapshot_path + ".part";
   {
@@ -298,7 +300,7 @@
 std::string MembershipTransport::json() const {
   using Json = nlohmann::ordered_json;
   static constexpr std::string_view kStates[] = {"alive", "suspect", "dead", "left"};
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   if (!engine_)
     return Json{{"self", options_.name},
                 {"zone", options_.zone},
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -33,23 +33,25 @@
     std::string name, zone, listen;
     std::vector<std::string> peers;
     FleetFile::Membership membership;
-    TenthsOfMs slow_start_window = 0;  // in which sends to backends in slow start count
+    TenthsOfMs slow_start_window = 0;  // how long a send to a backend in slow start counts
     std::string snapshot_path;         // file in which the predecessor process may leave a snapshot for the
                                        // successor; empty: none
     bool is_successor = false;         // the predecessor holds the address until it has written that file
   };
   // `on_share_changed` is called, outside the lock, whenever the number of nodes changes that this node
-  // divides shared limits by. Throws Malformed if the settings can't be used, and std::system_error if the
-  // address can't be bound.
+  // divides shared limits by: by the constructor and by run(). Throws Malformed if the settings can't be
+  // used, and std::system_error if the address can't be bound.
   MembershipTransport(const Options& options, std::function<void(int)> on_share_changed);
   ~MembershipTransport();
   void run();  // blocks until stop() or the hand-over to the successor
   // check() throws Malformed if the list of peers can't be used. move() replaces the list by one that passed
-  // check().
+  // check(); if it can't read the new list, it throws Malformed and keeps the old one.
   void check(const std::vector<std::string>& peers) const;
   void move(const std::vector<std::string>& peers);
-  void leave();           // tells the members that decide on views that this node stops
-  bool has_left() const;  // the deciding members received the leave, or the engine does not run
+  void leave();  // informs the members that decide on views that this node stops
+  // After leave(): a member that decides on views acknowledged the leave, or this node is not a member, or
+  // the engine does not run.
+  bool has_left() const;
   // Makes run() write a snapshot for the successor process, release the address and return.
   void hand_over_to_successor() { is_handing_over_ = true; }
   void stop();               // makes run() return
@@ -64,7 +66,7 @@
   // held.
   void run_engine(const members::MemberEvent& event);
   // Binds the address and starts the engine, from the predecessor's snapshot if there is one; false: the
-  // address is in use.
+  // address can't be bound, for instance because the predecessor still holds it.
   bool try_bind();
   void write_snapshot_and_close();
   void receive();
@@ -74,12 +76,12 @@
   const Options options_;
   const std::function<void(int)> on_share_changed_;
   MembershipCounters counters_;
-  mutable std::mutex lock_;  // guards the data members below, except for the atomics
+  mutable std::mutex lock_;  // guards the data members below, except for setup_ and the atomics
   Fd socket_;
   Addresses addresses_;
   std::unordered_map<std::uint64_t, Index> node_of_address_;  // index of a peer, by its address and port
   std::unique_ptr<members::Engine> engine_;
-  members::Setup setup_;
+  members::Setup setup_;  // changed only by the constructor and try_bind()
   std::atomic<bool> stopped_{false}, is_handing_over_{false};
   int reported_share_ = 0;  // the number of nodes that was last reported
 };
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -36,23 +36,23 @@
   if (pool_ != nullptr) pool_->budget_.give_back(Side::backends);
 }
 
-// Bytes on an idle connection are unsolicited and make the backend a suspect.
+// Bytes on an idle connection are unsolicited: its backend becomes distrusted.
 bool ConnectionPool::is_quiet(std::uint64_t instance_id, const PooledConnection& pooled) {
-  const PeekResult unread = peek_socket(pooled.connection.fd());
+  const PeekResult peeked = peek_socket(pooled.connection.fd());
   const TimePoint now = TimePoint::clock::now();
-  if (unread == PeekResult::bytes)
+  if (peeked == PeekResult::bytes)
     record_unsolicited_bytes(instance_id, pooled.address, now - pooled.idle_since);
-  if (unread != PeekResult::none) return false;
-  std::lock_guard guard(lock_);
+  if (peeked != PeekResult::none) return false;
+  std::lock_guard lock(lock_);
   reuse_.record_quiet(instance_id, now - pooled.idle_since, now);
   return true;
 }
 
 void ConnectionPool::record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address,
-                                              std::chrono::steady_clock::duration rested) {
+                                              std::chrono::steady_clock::duration idle_time) {
   std::deque<PooledConnection> to_close;  // closed after the lock is released
   {
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     reuse_.record_unsolicited_bytes(instance_id, TimePoint::clock::now());
     if (const auto entry = idle_.find(instance_id); entry != idle_.end()) {
       to_close.swap(entry->second);
@@ -61,7 +61,7 @@
   }
   ++unsolicited_count_;
   log::event("backend_spoke_unasked", {{"backend", std::string_view(address_text(unpack_address(address)))},
-                                       {"rested_ms", milliseconds_of(rested)},
+                                       {"rested_ms", milliseconds_of(idle_time)},
                                        {"closed", std::uint64_t{to_close.size()}}});
 }
 
@@ -71,7 +71,7 @@
   for (;;) {
     std::optional<PooledConnection> found;
     {
-      std::lock_guard guard(lock_);
+      std::lock_guard lock(lock_);
       const auto entry = idle_.find(instance_id);
       if (entry == idle_.end()) return std::nullopt;
       const TimePoint idle_before = TimePoint::clock::now() - reuse_.cooldown(instance_id);
@@ -100,7 +100,7 @@
 
 bool ConnectionPool::close_oldest_idle() {
   std::optional<PooledConnection> oldest;  // closed after the lock is released
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   auto oldest_entry = idle_.end();
   for (auto entry = idle_.begin(); entry != idle_.end(); ++entry)
     if (!entry->second.empty() &&
@@ -117,22 +117,22 @@
   const TimePoint now = TimePoint::clock::now();
   // Declared before the lock, so that a connection that is not kept is closed after the lock is released.
   PooledConnection pooled{address, now, std::move(connection)};
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   if (reuse_.may_keep_connections(instance_id, now)) idle_[instance_id].push_back(std::move(pooled));
 }
 
 void ConnectionPool::close_expired() {
-  check_rested();
+  check_idle_connections();
   close_expired(idle_limit_);
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   reuse_.forget_before(TimePoint::clock::now() - kForgetAfter);
 }
 
 // Detects a backend that answers twice before its second answer is taken for the answer to another request.
-void ConnectionPool::check_rested() {
-  std::vector<std::pair<std::uint64_t, PooledConnection>> rested;
+void ConnectionPool::check_idle_connections() {
+  std::vector<std::pair<std::uint64_t, PooledConnection>> to_check;
   {
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     const TimePoint now = TimePoint::clock::now();
     for (auto& [instance_id, connections] : idle_) {
       const TimePoint idle_before = now - reuse_.proving_cooldown(instance_id);
@@ -142,15 +142,15 @@
           ++pooled;
           continue;
         }
-        rested.emplace_back(instance_id, std::move(*pooled));
+        to_check.emplace_back(instance_id, std::move(*pooled));
         pooled = connections.erase(pooled);
       }
     }
   }
-  for (auto& [instance_id, pooled] : rested) {
+  for (auto& [instance_id, pooled] : to_check) {
     if (!is_quiet(instance_id, pooled)) continue;
     pooled.was_checked = true;
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     if (!reuse_.may_keep_connections(instance_id, TimePoint::clock::now())) continue;
     std::deque<PooledConnection>& connections = idle_[instance_id];
     const auto position = std::upper_bound(
@@ -163,7 +163,7 @@
 void ConnectionPool::close_expired(std::chrono::steady_clock::duration max_idle) {
   std::vector<std::pair<std::uint64_t, PooledConnection>> expired;  // closed after the lock is released
   {
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     const TimePoint idle_before = TimePoint::clock::now() - max_idle;
     for (auto entry = idle_.begin(); entry != idle_.end();) {
       std::deque<PooledConnection>& connections = entry->second;
@@ -175,6 +175,7 @@
       entry = connections.empty() ? idle_.erase(entry) : std::next(entry);
     }
   }
+  // An expired connection still shows whether its backend was quiet: the check records this.
   for (const auto& [instance_id, pooled] : expired) is_quiet(instance_id, pooled);
 }
 
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -50,15 +50,15 @@
   std::optional<Connection> open_new();
   // Keeps the connection for reuse, or closes it if the backend has sent unsolicited bytes recently.
   void give_back(std::uint64_t instance_id, std::uint64_t address, Connection connection);
-  // The backend sent bytes that belong to no request, on a connection that had been idle for `rested`: closes
-  // all idle connections to the backend.
+  // The backend sent bytes that belong to no request, on a connection that had been idle for `idle_time`:
+  // closes all idle connections to the backend.
   void record_unsolicited_bytes(std::uint64_t instance_id, std::uint64_t address,
-                                std::chrono::steady_clock::duration rested);
+                                std::chrono::steady_clock::duration idle_time);
   bool close_oldest_idle();  // closes the connection that has been idle the longest; false: none is idle
-  // Closes connections that have been idle for the idle limit, and checks each other one once after its
-  // proving time.
+  // Closes connections that have been idle for the idle limit, and checks each other connection once
+  // after the proving time of its backend.
   void close_expired();
-  void close_expired(std::chrono::steady_clock::duration max_idle);  // closes those idle for `max_idle`
+  void close_expired(std::chrono::steady_clock::duration max_idle);  // closes connections idle for `max_idle`
   // How often unsolicited bytes were found.
   std::uint64_t unsolicited_count() const { return unsolicited_count_; }
 
@@ -68,14 +68,14 @@
     std::uint64_t address;
     TimePoint idle_since;
     Connection connection;
-    bool was_checked = false;  // by check_rested()
+    bool was_checked = false;  // by check_idle_connections()
   };
   // By instance id; the connection used last is at the end of its queue.
   using ByInstance = std::map<std::uint64_t, std::deque<PooledConnection>>;
   // Whether the connection is open and nothing is unread. Reports what it finds to reuse_.
   bool is_quiet(std::uint64_t instance_id, const PooledConnection& pooled);
   // Checks each connection once that has been idle for the proving time of its backend.
-  void check_rested();
+  void check_idle_connections();
 
   std::mutex lock_;  // never held while a connection is checked or closed
   ConnectionBudget& budget_;
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -37,7 +37,7 @@
     sockaddr_in discovery;
     std::shared_ptr<SocketInterrupter> interrupter;
     {
-      std::lock_guard guard(lock_);
+      std::lock_guard lock(lock_);
       if (stopped_) return;
       discovery = discovery_;
       interrupter = interrupter_;
@@ -62,12 +62,12 @@
 }
 
 void DiscoveryWatch::wait_between_polls(std::chrono::microseconds duration) {
-  std::unique_lock guard(lock_);
-  changed_.wait_for(guard, duration, [this] { return stopped_ || has_moved_; });
+  std::unique_lock lock(lock_);
+  changed_.wait_for(lock, duration, [this] { return stopped_ || has_moved_; });
 }
 
 void DiscoveryWatch::stop() {
-  std::lock_guard guard(lock_);
+  std::lock_guard lock(lock_);
   stopped_ = true;
   changed_.notify_all();
   interrupter_->interrupt();
@@ -75,7 +75,7 @@
 
 void DiscoveryWatch::move(const sockaddr_in& discovery) {
   {
-    std::lock_guard guard(lock_);
+    std::lock_guard lock(lock_);
     discovery_ = discovery;
     has_moved_ = true;
     changed_.notify_all();
--- a/src/net/watch.h
+++ b/src/net/watch.h
@@ -17,16 +17,19 @@
 // One thread calls run(); any thread may call stop() and move().
 class DiscoveryWatch {
  public:
-  // `version`: of the list that the node already has; kNoVersion: none. `on_list` is called after each list,
+  // `version`: of the list that the node already has; -1: none. `on_list` is called after each list,
   // by the thread of run().
   DiscoveryWatch(core::Balancer& balancer, BackendDirectory& directory, Counters& counters,
                  const sockaddr_in& discovery, std::int64_t version, std::uint64_t seed,
                  std::function<void()> on_list = {})
       : balancer_(balancer), directory_(directory), counters_(counters), discovery_(discovery),
         version_(version), schedule_(seed), on_list_(std::move(on_list)) {}
-  void run();   // blocks until the balancer requests the watch, then polls until stop()
-  void stop();  // makes run() return; interrupts a poll that is in progress
-  // Interrupts the poll and continues at another address with its whole list.
+  // Blocks until the balancer requests the watch, then polls until stop(). Also returns if the balancer is
+  // stopped before its request.
+  void run();
+  void stop();  // ends the polling of run() and interrupts a poll that is in progress
+  // Interrupts the poll and continues at another address with its whole list. Starts the watch if the
+  // balancer has not requested it yet.
   void move(const sockaddr_in& discovery);
 
  private:
