--- a/src/decide.h
+++ b/src/decide.h
@@ -173,7 +173,8 @@
 struct ShutdownRequested {
   TenthsOfMs answer_by = 0;
 };
-// Asks how many backends are listed and how many of them are avoided now. The action backend_counts answers.
+// Asks how many backends are listed and how many of them are avoided (stopping, or outliers) now. The action
+// backend_counts answers.
 struct BackendCounts {};
 
 using Event = std::variant<FleetList, Arrival, HandOffEnded, AnswerStarted, AnswerProgress, ClientGone,
@@ -190,7 +191,7 @@
   probe,            // backend
   forget,           // invocation: its index may be used again
   release,          // backend: nothing refers to its index, which may name another backend from now on
-  backend_counts,   // at: number of listed backends, number: how many of them are avoided
+  backend_counts,   // at: number of listed backends, number: how many are avoided (stopping, or outliers)
 };
 
 struct Action {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -314,9 +314,9 @@
   return ReadResult::whole;
 }
 
-std::optional<Request> read_request_head(Reader& reader, TimePoint deadline, BadRequest& bad) {
+std::optional<Request> read_request_head(Reader& reader, TimePoint deadline, BadRequest& refusal) {
   const auto refuse = [&](int status, RequestError cause) {
-    bad = {status, cause};
+    refusal = {status, cause};
     return std::nullopt;
   };
   Head head;
@@ -372,9 +372,10 @@
   return request;
 }
 
-bool read_body(Reader& reader, Request& request, BadRequest& bad, const std::function<TimePoint()>& deadline,
+bool read_body(Reader& reader, Request& request, BadRequest& refusal,
+               const std::function<TimePoint()>& deadline,
                const std::function<bool(std::size_t)>& take_capacity) {
-  const auto refuse = [&](int status, RequestError cause) { return bad = {status, cause}, false; };
+  const auto refuse = [&](int status, RequestError cause) { return refusal = {status, cause}, false; };
   if (request.remaining_body.whole()) return true;
   const bool is_short = request.remaining_body.framing() == Framing::length &&
                         request.remaining_body.left() <= kMaxBufferedRequestBytes;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -170,13 +170,14 @@
   int status = 0;  // of the response; 0: none is sent, the connection is gone
   RequestError cause = RequestError::none;
 };
-// Reads the head of a request; empty: `bad` states why not. A head that other programs may interpret in
+// Reads the head of a request; empty: `refusal` states why not. A head that other programs may interpret in
 // another way is refused.
-std::optional<Request> read_request_head(Reader& reader, TimePoint deadline, BadRequest& bad);
+std::optional<Request> read_request_head(Reader& reader, TimePoint deadline, BadRequest& refusal);
 // Reads the body of the request into `request.body` until it is whole, kMaxBufferedRequestBytes are buffered,
 // or `take_capacity` grants no more bytes; the rest has to be streamed then. `deadline` is called before each
-// read. False: `bad` states why the body can't be read.
-bool read_body(Reader& reader, Request& request, BadRequest& bad, const std::function<TimePoint()>& deadline,
+// read. False: `refusal` states why the body can't be read.
+bool read_body(Reader& reader, Request& request, BadRequest& refusal,
+               const std::function<TimePoint()>& deadline,
                const std::function<bool(std::size_t)>& take_capacity);
 // The head of the request for the backend. The body has to follow: request.body, and the pieces of a streamed
 // body, in chunks as framed by frame_body_piece() if the request has them.
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -127,8 +127,8 @@
       idle_connections_(
           [this](const std::shared_ptr<ClientConnection>& client) { return run_client(client); },
           max_waiting(config_),
-          [this](std::chrono::milliseconds gap) {
-            if (gap >= kMinReportedStall) counters_.record_stall(gap);
+          [this](std::chrono::milliseconds duration) {
+            if (duration >= kMinReportedStall) counters_.record_stall(duration);
           }),
       hand_off_threads_(2 * connection_budget(config_)), client_threads_(2 * connection_budget(config_)),
       // Eight threads of start(), and one that checks the system's receive times.
@@ -313,7 +313,7 @@
 // Called by IdleConnections while it holds its lock: must not block.
 bool Node::run_client(const std::shared_ptr<ClientConnection>& client) {
   return client_threads_.run([this, client]() mutable {
-    if (const auto wait = client->serve()) idle_connections_.add(std::move(client), *wait);
+    if (const auto waits_for = client->serve()) idle_connections_.add(std::move(client), *waits_for);
   });
 }
 
