--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -104,7 +104,7 @@
     if (wait_readable(fd.get(), polled_at + microseconds_of((is_long_poll ? next_.wait : 0) +
                                                             next_.answer_timeout)) == IoResult::late) {
       log::info(
-          "discovery: no answer within {} ms",
+          "discovery: no answer in {} ms",
           std::chrono::duration_cast<std::chrono::milliseconds>(TimePoint::clock::now() - polled_at).count());
       return PollResult::silent;
     }
